--- a/packages/core/greengagepoint/overload/__init__.py
+++ b/packages/core/greengagepoint/overload/__init__.py
@@ -1,1 +1,1 @@
-"""Admit, queue, refuse, retry and hedge requests under load."""
+"""Admit, queue, reject, retry and hedge requests under load."""
--- a/packages/core/greengagepoint/overload/admission.py
+++ b/packages/core/greengagepoint/overload/admission.py
@@ -1,4 +1,4 @@
-"""Admit, queue or refuse requests to one service."""
+"""Admit, queue or reject requests to one service."""
 
 from typing import Final
 
@@ -20,32 +20,33 @@
 from greengagepoint.records.schemas import RequestClass
 
 QUEUE_LENGTH_MAX: Final = 1024
-# The part of its deadline, and the seconds, that a request may wait for a place.
+# Longest wait in the queue: a fraction of the request's time until its deadline, and
+# an upper bound in seconds.
 QUEUE_WAIT_MAX: Final = {
     RequestClass.PAYMENT: (0.25, 2.0),
     RequestClass.LOOKUP: (0.15, 1.0),
     RequestClass.ARCHIVE: (0.4, 10.0),
 }
 
-NOTHING: Final = Released((), ())
+NO_CHANGE: Final = Released((), ())
 
 
 def offer(
     pool: Pool, ticket: Ticket, now: float, random: Random
 ) -> Admitted | Queued | Refused:
-    """Decide at once what becomes of a new request."""
+    """Admit, queue or reject a new request."""
     queue = pool.queues[ticket.request_class]
     if not _can_finish(queue, ticket, now, 0.0):
-        return _refuse(pool, ErrorKind.DEADLINE_TOO_SHORT, now, random)
-    if not pool.length and _has_room(pool, now):
+        return _reject(pool, ErrorKind.DEADLINE_TOO_SHORT, now, random)
+    if not pool.length and _has_free_slot(pool, now):
         _admit(pool, ticket, now)
         return Admitted()
-    limiter.note_full(pool.limiter)
-    wait = estimates.wait_seconds(pool, ticket)
+    limiter.record_limit_reached(pool.limiter)
+    wait = estimates.estimate_wait_seconds(pool, ticket)
     if not _can_finish(queue, ticket, now, wait):
-        return _refuse(pool, ErrorKind.DEADLINE_TOO_SHORT, now, random)
-    if wait > _longest_wait(ticket) or pool.length >= QUEUE_LENGTH_MAX:
-        return _refuse(pool, ErrorKind.OVERLOADED, now, random)
+        return _reject(pool, ErrorKind.DEADLINE_TOO_SHORT, now, random)
+    if wait > _max_wait_seconds(ticket) or pool.length >= QUEUE_LENGTH_MAX:
+        return _reject(pool, ErrorKind.OVERLOADED, now, random)
     fair_queue.push(queue, ticket)
     return Queued(wait)
 
@@ -59,61 +60,61 @@
     *,
     ok: bool = True,
 ) -> Released:
-    """Free the place of a request that has ended and fill it from the queue.
+    """Free the slot of a completed request and admit waiting requests.
 
-    ``latency`` is seconds until the head of the answer, or None where there was
-    none to measure, as when the caller went away; ``ok`` is False when the
-    backend server shed the request or gave no answer.
+    ``latency`` is the time in seconds until the response headers, or None if there
+    was no response to measure, for example because the caller disconnected. ``ok``
+    is False if the backend server shed the request or did not answer.
     """
     admitted_at = pool.in_flight.pop(ticket.id, None)
     if admitted_at is None:
-        return NOTHING
+        return NO_CHANGE
     pool.queues[ticket.request_class].in_flight -= 1
-    held = now - admitted_at
+    service_seconds = now - admitted_at
     if not ok:
-        limiter.failed(pool.limiter, now)
+        limiter.record_failure(pool.limiter, now)
     elif latency is not None:
-        limiter.sample(pool.limiter, ticket.request_class, latency, now)
-        estimates.note_hold(pool, ticket.request_class, held)
-    return pull(pool, now, random)
+        limiter.record_sample(pool.limiter, ticket.request_class, latency, now)
+        estimates.record_service_time(pool, ticket.request_class, service_seconds)
+    return admit_waiting(pool, now, random)
 
 
 def withdraw(pool: Pool, ticket: Ticket, now: float, random: Random) -> Released:
-    """Forget a request whose caller went away, waiting or in flight."""
+    """Remove a request whose caller disconnected, whether waiting or in flight."""
     if fair_queue.remove(pool.queues[ticket.request_class], ticket):
-        return NOTHING
+        return NO_CHANGE
     return finish(pool, ticket, None, now, random)
 
 
 def expire(pool: Pool, now: float, random: Random) -> Released:
-    """Give up waiting requests that can no longer finish in time.
+    """Reject waiting requests that can no longer finish before their deadline.
 
-    Their callers hear it now and not at the deadline, so that they still have
-    the time to ask elsewhere.
+    They are rejected early instead of at the deadline, so that their callers still
+    have time to try another host.
     """
     refused: list[RefusedTicket] = []
-    higher = 0
+    higher_count = 0
     for name in CLASS_ORDER:
         queue = pool.queues[name]
-        own = 0
-        for ticket in fair_queue.in_order(queue):
-            wait = estimates.wait_behind(pool, name, higher, own)
+        own_count = 0
+        for ticket in fair_queue.dequeue_order(queue):
+            wait = estimates.queue_drain_seconds(pool, name, higher_count, own_count)
             if _can_finish(queue, ticket, now, wait):
-                own += 1
+                own_count += 1
                 continue
             fair_queue.remove(queue, ticket)
-            refusal = _refuse(pool, ErrorKind.DEADLINE_TOO_SHORT, now, random)
-            refused.append(RefusedTicket(ticket, refusal))
-        higher += own
-    released = pull(pool, now, random)
+            rejection = _reject(pool, ErrorKind.DEADLINE_TOO_SHORT, now, random)
+            refused.append(RefusedTicket(ticket, rejection))
+        higher_count += own_count
+    released = admit_waiting(pool, now, random)
     return Released(released.admitted, (*refused, *released.refused))
 
 
-def pull(pool: Pool, now: float, random: Random) -> Released:
-    """Fill free places from the queue, most important class first."""
+def admit_waiting(pool: Pool, now: float, random: Random) -> Released:
+    """Admit waiting requests while slots are free, most important class first."""
     admitted: list[Ticket] = []
     refused: list[RefusedTicket] = []
-    while _has_room(pool, now):
+    while _has_free_slot(pool, now):
         queue = _next_queue(pool)
         ticket = fair_queue.pop(queue) if queue else None
         if ticket is None:
@@ -122,43 +123,45 @@
             _admit(pool, ticket, now)
             admitted.append(ticket)
             continue
-        refusal = _refuse(pool, ErrorKind.DEADLINE_TOO_SHORT, now, random)
-        refused.append(RefusedTicket(ticket, refusal))
+        rejection = _reject(pool, ErrorKind.DEADLINE_TOO_SHORT, now, random)
+        refused.append(RefusedTicket(ticket, rejection))
     return Released(tuple(admitted), tuple(refused))
 
 
-def _has_room(pool: Pool, now: float) -> bool:
-    """Tell whether one more request may be in flight."""
-    return len(pool.in_flight) < limiter.allowed(pool.limiter, now)
+def _has_free_slot(pool: Pool, now: float) -> bool:
+    """Return True if one more request may be in flight."""
+    return len(pool.in_flight) < limiter.current_limit(pool.limiter, now)
 
 
 def _admit(pool: Pool, ticket: Ticket, now: float) -> None:
-    """Give a request its place."""
+    """Count a request as in flight."""
     pool.in_flight[ticket.id] = now
     pool.queues[ticket.request_class].in_flight += 1
-    estimates.note_admitted(pool, ticket.request_class)
+    estimates.record_admission(pool, ticket.request_class)
 
 
 def _can_finish(queue: ClassQueue, ticket: Ticket, now: float, wait: float) -> bool:
-    """Tell whether a request ends before its deadline, by the estimates.
+    """Return True if a request is expected to finish before its deadline.
 
-    With none of its class in flight nothing would correct an estimate that has
-    grown beyond every deadline, so then one goes through to measure again.
+    If no request of the class is in flight, the service time isn't checked: an
+    estimate that exceeds every deadline would otherwise never be measured again.
     """
-    left = ticket.ends_at - now - wait
-    if left <= 0:
+    remaining = ticket.ends_at - now - wait
+    if remaining <= 0:
         return False
-    return queue.in_flight == 0 or left >= estimates.needed_seconds(queue)
+    return queue.in_flight == 0 or remaining >= estimates.expected_service_seconds(
+        queue
+    )
 
 
-def _longest_wait(ticket: Ticket) -> float:
-    """Return how long a request may wait at most."""
+def _max_wait_seconds(ticket: Ticket) -> float:
+    """Return the longest time in seconds that a request may wait."""
     share, seconds = QUEUE_WAIT_MAX[ticket.request_class]
     return min(seconds, share * (ticket.ends_at - ticket.arrived_at))
 
 
 def _next_queue(pool: Pool) -> ClassQueue | None:
-    """Return the queue whose turn it is."""
+    """Return the class queue to serve next, or None if nothing waits."""
     waiting = [pool.queues[name] for name in CLASS_ORDER if pool.queues[name].length]
     if not waiting:
         return None
@@ -171,8 +174,8 @@
     return lower[pool.turns // estimates.LOWER_CLASS_EVERY % len(lower)]
 
 
-def _refuse(pool: Pool, kind: ErrorKind, now: float, random: Random) -> Refused:
-    """Build a refusal that tells when to come back."""
+def _reject(pool: Pool, kind: ErrorKind, now: float, random: Random) -> Refused:
+    """Build a rejection with the time after which to retry."""
     seconds = retry_after_seconds(pool, now, random)
     waiting = pool.length
     detail = f"{len(pool.in_flight)} in flight, {waiting} waiting"
--- a/packages/core/greengagepoint/overload/fair_queue.py
+++ b/packages/core/greengagepoint/overload/fair_queue.py
@@ -8,14 +8,17 @@
 
 
 def push(queue: ClassQueue, ticket: Ticket) -> None:
-    """Add a request behind the others of its team."""
-    team = _team(queue, ticket)
+    """Append a request to its team's queue."""
+    team = _get_team_queue(queue, ticket)
     team.tickets.append(ticket)
     queue.length += 1
 
 
 def pop(queue: ClassQueue) -> Ticket | None:
-    """Take the first request of the team with the smallest virtual start."""
+    """Remove and return the next request, or None if the queue is empty.
+
+    The next request is the first one of the team with the lowest virtual start.
+    """
     if not queue.length:
         return None
     name, team = min(
@@ -27,15 +30,15 @@
     queue.length -= 1
     team.virtual_start += 1 / team.weight
     if not queue.length:
-        # With nobody waiting there is nothing to be fair about, and a team's
-        # debt from an earlier busy period must not count against it.
+        # Fairness only matters while requests wait: usage from an earlier busy
+        # period must not count against a team.
         queue.teams.clear()
         queue.virtual_time = 0.0
     return ticket
 
 
-def ahead(queue: ClassQueue, ticket: Ticket) -> int:
-    """Return how many waiting requests would go before a new one."""
+def count_ahead(queue: ClassQueue, ticket: Ticket) -> int:
+    """Return how many waiting requests would be dequeued before a new one."""
     own = queue.teams.get(ticket.team)
     start = queue.virtual_time
     if own is not None:
@@ -51,8 +54,8 @@
     return count
 
 
-def in_order(queue: ClassQueue) -> list[Ticket]:
-    """Return the waiting requests in the order in which they would leave."""
+def dequeue_order(queue: ClassQueue) -> list[Ticket]:
+    """Return the waiting requests in the order in which they would be dequeued."""
     tagged = [
         (team.virtual_start + index / team.weight, name, index, ticket)
         for name, team in queue.teams.items()
@@ -63,7 +66,7 @@
 
 
 def remove(queue: ClassQueue, ticket: Ticket) -> bool:
-    """Take a request out of the middle; tell whether it was there."""
+    """Remove a request from any position; return False if it isn't queued."""
     team = queue.teams.get(ticket.team)
     if team is None:
         return False
@@ -78,8 +81,8 @@
     return True
 
 
-def _team(queue: ClassQueue, ticket: Ticket) -> TeamQueue:
-    """Return a team's row; one that comes back starts at the present time."""
+def _get_team_queue(queue: ClassQueue, ticket: Ticket) -> TeamQueue:
+    """Return a team's queue; an idle team restarts at the current virtual time."""
     weight = max(WEIGHT_MIN, ticket.weight)
     team = queue.teams.get(ticket.team)
     if team is None:
--- a/packages/core/greengagepoint/overload/full_link.py
+++ b/packages/core/greengagepoint/overload/full_link.py
@@ -1,71 +1,74 @@
-"""Tell a host's own full link from trouble elsewhere, and when not to send over it.
+"""Detect saturation of a host's own link, and stop sending requests over it.
 
-Load answered: answers fill a host's link, so news waits, and so do requests on their
-way out. A server that leaves gets requests from such a host seconds after its word, and
-cuts them off as it exits. A host that hears nothing because the store is away, or since
-it is cut off from the others, serves on: nobody knows more, or its link is free and it
-reaches servers that others may not.
+When responses saturate a host's link, incoming state updates and outgoing requests are
+delayed. Such a host would send requests to a leaving server seconds after the server
+announced that it leaves, and the server would abort them when it exits.
+
+A host that receives no updates because the store is unreachable, or because it is
+partitioned from its peers, keeps serving: either no host has newer state, or its link
+has free capacity and it may reach servers that other hosts can't.
 """
 
 from collections import deque
 from typing import Final, NamedTuple
 
-# Hosts of a region are 1 ms apart, regions up to 35 ms one way; there and back and a
-# busy server stay below.
+# Hosts of a region are 1 ms apart, regions up to 35 ms one way. A round trip to a busy
+# server stays below this value.
 FULL_SECONDS: Final = 0.2
-# A full link delays every connection. Of those that take long in this time, as many as
-# this may be to servers of one lost zone.
+# A saturated link delays every connection. Fewer slow connections than this within the
+# window may all be to servers of one failed zone.
 SAMPLES_MIN: Final = 4
 WINDOW_SECONDS: Final = 1.5
-# News that no peer has is news that the store does not tell: hosts that reach it, or a
-# peer that does, are 1.6 s behind at most.
+# State older than this that no peer can update means that the store is unreachable:
+# hosts that reach the store, or a peer that does, are at most 1.6 s behind.
 STORE_AWAY_SECONDS: Final = 2.0
 
 
 class Sample(NamedTuple):
-    """How long one connection took, or was waited for; monotonic seconds."""
+    """Seconds until a connection was made or abandoned; ``at`` is monotonic."""
 
     at: float
     seconds: float
 
 
 class LinkDelay:
-    """The delay of a host's own link, from all connections that it makes."""
+    """Estimate the delay of a host's own link from all connections that it makes."""
 
     def __init__(self) -> None:
         self.samples: deque[Sample] = deque()
 
     def note(self, seconds: float, now: float) -> None:
-        """Take in that a connection was made, or given up, after some seconds."""
-        self._forget(now)
+        """Record the seconds until a connection was made or abandoned."""
+        self._drop_old_samples(now)
         self.samples.append(Sample(now, seconds))
 
     def seconds(self, now: float) -> float:
-        """Return the time of the quickest connection of late, 0 where too few tell."""
-        self._forget(now)
+        """Return the fastest connect time in the window, or 0 with too few samples."""
+        self._drop_old_samples(now)
         if len(self.samples) < SAMPLES_MIN:
             return 0.0
         return min(sample.seconds for sample in self.samples)
 
     def is_full(self, now: float) -> bool:
-        """Tell whether all that this host sends and gets has to wait."""
+        """Return True if the link delays all traffic of this host."""
         return self.seconds(now) >= FULL_SECONDS
 
-    def _forget(self, now: float) -> None:
-        """Drop what is no longer of late."""
+    def _drop_old_samples(self, now: float) -> None:
+        """Drop samples older than the window."""
         while self.samples and now - self.samples[0].at > WINDOW_SECONDS:
             self.samples.popleft()
 
 
 def may_send(
-    news_age: float, link_seconds: float, connect_seconds: float, drain_seconds: float
+    state_age: float, link_seconds: float, connect_seconds: float, drain_seconds: float
 ) -> bool:
-    """Tell whether a request will arrive while even a leaving server still serves.
+    """Return True if a request arrives before a leaving server stops serving.
 
-    ``news_age`` is when the host last knew which servers leave, ``link_seconds`` the
-    delay of its link, ``connect_seconds`` what this request's connection took, 0 on a
-    kept one. What is written now arrives after less than a connection takes.
+    All times are in seconds. ``state_age`` is the age of this host's view of which
+    servers leave, ``link_seconds`` the delay of its link, and ``connect_seconds`` the
+    connect time of this request, 0 on a reused connection. A request that is written
+    now arrives in less time than it takes to connect.
     """
     if link_seconds < FULL_SECONDS:
         return True
-    return news_age + max(link_seconds, connect_seconds) <= drain_seconds
+    return state_age + max(link_seconds, connect_seconds) <= drain_seconds
--- a/packages/core/greengagepoint/overload/retries.py
+++ b/packages/core/greengagepoint/overload/retries.py
@@ -1,4 +1,4 @@
-"""Keep retries and hedges within a budget, spread out by jitter."""
+"""Limit retries and hedges by a budget, and spread retries with jitter."""
 
 from bisect import insort
 from collections import deque
@@ -21,11 +21,10 @@
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Tokens for sending again; each first try adds a fraction of one.
+    """Tokens for retries; each first attempt adds a fraction of one.
 
-    When everything fails, retries add at most that fraction to the load. Without
-    it each of two more tries would triple the load on servers that are failing
-    because of load.
+    When everything fails, retries add at most that fraction to the load. Without a
+    budget, two retries per request would triple the load on overloaded servers.
     """
 
     tokens: float = RETRY_TOKENS_START
@@ -33,19 +32,19 @@
 
 @dataclass(slots=True)
 class LatencyQuantile:
-    """The last latencies in order of arrival and of size; seconds."""
+    """Recent latencies in seconds, in order of arrival and sorted."""
 
     recent: deque[float] = field(default_factory=deque)
-    ordered: list[float] = field(default_factory=list)
+    sorted_seconds: list[float] = field(default_factory=list)
 
 
 def deposit(budget: RetryBudget) -> None:
-    """Add what one first try is worth."""
+    """Add the tokens earned by one first attempt."""
     budget.tokens = min(RETRY_TOKENS_MAX, budget.tokens + RETRY_FRACTION)
 
 
 def withdraw(budget: RetryBudget) -> bool:
-    """Take the token for sending once more; tell whether there was one."""
+    """Take a token for one more attempt; return False if there is none."""
     if budget.tokens < 1:
         return False
     budget.tokens -= 1
@@ -55,27 +54,26 @@
 def retry_delay(attempt: int, random: Random) -> float:
     """Return seconds to wait before a retry; ``attempt`` is 1 for the first.
 
-    The whole of the delay is drawn at random: callers that failed together
-    would otherwise return together.
+    Full jitter: requests that failed together would otherwise be retried together.
     """
-    longest = min(BACKOFF_MAX_SECONDS, BACKOFF_BASE_SECONDS * 2**attempt)
-    return longest * random.random()
+    max_delay = min(BACKOFF_MAX_SECONDS, BACKOFF_BASE_SECONDS * 2**attempt)
+    return max_delay * random.random()
 
 
 def note_latency(quantile: LatencyQuantile, seconds: float) -> None:
-    """Take in the latency of one answer."""
+    """Record the latency of one response in seconds."""
     if len(quantile.recent) >= HEDGE_SAMPLES:
-        quantile.ordered.remove(quantile.recent.popleft())
+        quantile.sorted_seconds.remove(quantile.recent.popleft())
     quantile.recent.append(seconds)
-    insort(quantile.ordered, seconds)
+    insort(quantile.sorted_seconds, seconds)
 
 
 def hedge_wait_seconds(quantile: LatencyQuantile) -> float | None:
-    """Return after how long to send a hedge, or None with too few answers."""
-    if len(quantile.ordered) < HEDGE_SAMPLES_MIN:
+    """Return the seconds after which to hedge, or None with too few samples."""
+    if len(quantile.sorted_seconds) < HEDGE_SAMPLES_MIN:
         return None
-    index = int(len(quantile.ordered) * HEDGE_QUANTILE)
-    return max(HEDGE_WAIT_MIN_SECONDS, quantile.ordered[index])
+    index = int(len(quantile.sorted_seconds) * HEDGE_QUANTILE)
+    return max(HEDGE_WAIT_MIN_SECONDS, quantile.sorted_seconds[index])
 
 
 def may_hedge(
@@ -86,9 +84,10 @@
     *,
     repeatable: bool,
 ) -> bool:
-    """Take a token for a hedge, where one helps and does no harm.
+    """Take a token for a hedge; return False if hedging isn't allowed.
 
-    While requests wait for a place, a second copy would take it from them.
+    ``elapsed`` is seconds since the request was sent. No hedge is sent while the
+    pool is full or requests wait: it would take a slot from them.
     """
     wait = hedge_wait_seconds(quantile)
     if not repeatable or wait is None or elapsed < wait:
--- a/packages/core/greengagepoint/overload/tables.py
+++ b/packages/core/greengagepoint/overload/tables.py
@@ -1,4 +1,4 @@
-"""Rows of the tables that admission works on."""
+"""Data structures for admission control."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -9,11 +9,11 @@
 from greengagepoint.records.schemas import RequestClass
 
 CLASS_ORDER: Final = tuple(RequestClass)
-HOLD_DEFAULT_SECONDS: Final = 0.05
+SERVICE_TIME_DEFAULT_SECONDS: Final = 0.05
 
 
 class Ticket(NamedTuple):
-    """One request that asks to be sent; times are monotonic seconds."""
+    """One request that asks for admission; times are in monotonic seconds."""
 
     id: int
     team: str
@@ -28,13 +28,13 @@
 
 
 class Queued(NamedTuple):
-    """The request waits; ``wait_seconds`` is the estimate."""
+    """The request waits in the queue for an estimated ``wait_seconds``."""
 
     wait_seconds: float
 
 
 class Refused(NamedTuple):
-    """The request has not run; the caller may come back after some seconds."""
+    """The request has not run; the caller may retry after some seconds."""
 
     kind: ErrorKind
     retry_after_seconds: int
@@ -42,14 +42,14 @@
 
 
 class RefusedTicket(NamedTuple):
-    """A request that waited and is given up."""
+    """A waiting request that was rejected."""
 
     ticket: Ticket
     refusal: Refused
 
 
 class Released(NamedTuple):
-    """What leaves the queue: requests to send now and requests to refuse now."""
+    """Requests that left the queue: admitted ones to send, and rejected ones."""
 
     admitted: tuple[Ticket, ...]
     refused: tuple[RefusedTicket, ...]
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class TeamQueue:
-    """Waiting requests of one team; ``virtual_start`` is the tag of the first."""
+    """Waiting requests of one team; ``virtual_start`` is the first one's start tag."""
 
     weight: float
     virtual_start: float
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True)
 class ClassQueue:
-    """Waiting requests of one class, and its measured times in seconds.
+    """Waiting requests of one class, and its service times in seconds.
 
     ``share`` is the fraction of the pool's admissions that go to the class.
     """
@@ -75,28 +75,28 @@
     virtual_time: float = 0.0
     length: int = 0
     in_flight: int = 0
-    hold_mean: float = 0.0
-    hold_deviation: float = 0.0
+    service_time_mean: float = 0.0
+    service_time_deviation: float = 0.0
     share: float = 0.0
 
 
 @dataclass(slots=True)
 class Pool:
-    """Admission to one service on this host."""
+    """Admission state of one service on this host."""
 
     limiter: Limiter
     queues: dict[RequestClass, ClassQueue] = field(
         default_factory=lambda: {name: ClassQueue() for name in CLASS_ORDER}
     )
     in_flight: dict[int, float] = field(default_factory=dict)
-    hold_mean: float = HOLD_DEFAULT_SECONDS
-    held_samples: int = 0
+    service_time_mean: float = SERVICE_TIME_DEFAULT_SECONDS
+    service_time_samples: int = 0
     turns: int = 0
-    booked_until: float = 0.0
+    reserved_until: float = 0.0
 
     @property
     def length(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return sum(queue.length for queue in self.queues.values())
 
 
--- a/packages/core/greengagepoint/overload/team_limits.py
+++ b/packages/core/greengagepoint/overload/team_limits.py
@@ -1,4 +1,4 @@
-"""Hold each team to its rate."""
+"""Limit the request rate of each team."""
 
 from dataclasses import dataclass, field
 
@@ -14,9 +14,9 @@
 
 
 def take(limits: TeamLimits, team: str, rate: float, burst: float, now: float) -> float:
-    """Take a token; return 0, or the seconds until there will be one.
+    """Take a token; return 0, or the seconds until one is available.
 
-    ``rate`` (per second) and ``burst`` are this host's part of the team's limit.
+    ``rate`` (per second) and ``burst`` are this host's share of the team's limit.
     """
     bucket = limits.buckets.get(team)
     if bucket is None:
--- a/packages/core/greengagepoint/overload/token_bucket.py
+++ b/packages/core/greengagepoint/overload/token_bucket.py
@@ -1,20 +1,20 @@
-"""Hold something to a rate, with a burst."""
+"""Token bucket rate limiter."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Tokens that are left; ``filled_at`` is monotonic seconds."""
+    """Remaining tokens; ``filled_at`` is the last refill in monotonic seconds."""
 
     tokens: float
     filled_at: float
 
 
 def take(bucket: TokenBucket, rate: float, burst: float, now: float) -> float:
-    """Take a token; return 0, or the seconds until there will be one.
+    """Take a token; return 0, or the seconds until one is available.
 
-    ``rate`` is tokens a second, ``burst`` the most that can be saved up.
+    ``rate`` is tokens per second, ``burst`` the capacity of the bucket.
     """
     elapsed = max(0.0, now - bucket.filled_at)
     bucket.tokens = min(max(burst, 1.0), bucket.tokens + elapsed * rate)
--- a/packages/core/greengagepoint/rendezvous.py
+++ b/packages/core/greengagepoint/rendezvous.py
@@ -11,12 +11,13 @@
 def rank(
     key: str, rows: Iterable[RowT], name: Callable[[RowT], str] = str
 ) -> list[RowT]:
-    """Return rows in the order of their weight for a key, the heaviest first.
+    """Return rows sorted by their hash weight for a key, highest first.
 
-    ``name`` tells what a row is hashed by. Two views that differ in few hosts rank the
-    others in the same order, so little moves when a host comes or goes.
+    ``name`` returns the string that identifies a row in the hash. Views that differ in
+    a few hosts rank all other hosts in the same order, so little is reassigned when a
+    host joins or leaves.
     """
-    # No name or key holds a zero byte, so no two pairs are hashed alike.
+    # Names and keys contain no zero byte, so distinct pairs give distinct hash inputs.
     prefix = key.encode() + b"\0"
 
     def weight(row: RowT) -> int:
--- a/packages/core/tests/test_overload_admission.py
+++ b/packages/core/tests/test_overload_admission.py
@@ -20,7 +20,7 @@
 PAYMENT, LOOKUP, ARCHIVE = RequestClass
 
 
-class Desk:
+class PoolSimulation:
     """A pool with one limit, a service time, and a clock moved by hand."""
 
     def __init__(self, limit=2, service_seconds=0.1):
@@ -58,24 +58,24 @@
     """Places take 100 ms each and are taken. A request with 50 ms left, and one
     that could not get its turn in time, are refused when they arrive, not run.
     """
-    desk = Desk()
-    assert desk.offer() == Admitted()
-    assert desk.offer() == Admitted()
-    late = desk.offer(deadline=0.05)
-    assert isinstance(late, Refused)
-    assert late.kind is ErrorKind.DEADLINE_TOO_SHORT
-    assert isinstance(desk.offer(deadline=0.5), Queued)
+    simulation = PoolSimulation()
+    assert simulation.offer() == Admitted()
+    assert simulation.offer() == Admitted()
+    rejected = simulation.offer(deadline=0.05)
+    assert isinstance(rejected, Refused)
+    assert rejected.kind is ErrorKind.DEADLINE_TOO_SHORT
+    assert isinstance(simulation.offer(deadline=0.5), Queued)
     for _ in range(3):
-        desk.offer()
-    assert desk.offer(deadline=0.25).kind is ErrorKind.DEADLINE_TOO_SHORT
+        simulation.offer()
+    assert simulation.offer(deadline=0.25).kind is ErrorKind.DEADLINE_TOO_SHORT
 
 
 def test_nobody_waits_for_most_of_a_long_deadline():
     """Lookups with a minute to go keep coming to a full service. They wait for a
     second at most; the others hear at once that the service is overloaded.
     """
-    desk = Desk()
-    answers = [desk.offer(deadline=60.0) for _ in range(30)]
+    simulation = PoolSimulation()
+    answers = [simulation.offer(deadline=60.0) for _ in range(30)]
     waits = [row.wait_seconds for row in answers if isinstance(row, Queued)]
     assert max(waits) == pytest.approx(1.0)
     assert {row.kind for row in answers[-8:]} == {ErrorKind.OVERLOADED}
@@ -86,29 +86,31 @@
     their deadline the last three can't get their turn any more and are refused;
     the three before them may still make it and are kept.
     """
-    desk = Desk()
+    simulation = PoolSimulation()
     for _ in range(8):
-        desk.offer(deadline=4.0)
-    assert desk.pool.length == 6
-    desk.now += 3.77
-    refused = admission.expire(desk.pool, desk.now, desk.random).refused
+        simulation.offer(deadline=4.0)
+    assert simulation.pool.length == 6
+    simulation.now += 3.77
+    refused = admission.expire(
+        simulation.pool, simulation.now, simulation.random
+    ).refused
     assert [row.ticket.id for row in refused] == [22, 23, 24]
     for ticket, refusal in refused:
         assert refusal.kind is ErrorKind.DEADLINE_TOO_SHORT
         assert refusal.retry_after_seconds >= 1
-        assert ticket.ends_at > desk.now
-        assert ticket.id not in desk.pool.in_flight
+        assert ticket.ends_at > simulation.now
+        assert ticket.id not in simulation.pool.in_flight
 
 
 def test_payments_go_first_and_archives_are_not_starved():
-    desk = Desk(limit=1)
-    desk.offer()
+    simulation = PoolSimulation(limit=1)
+    simulation.offer()
     order = []
-    desk.offer(ARCHIVE, deadline=60.0)
+    simulation.offer(ARCHIVE, deadline=60.0)
     for _ in range(30):
-        desk.offer(PAYMENT, deadline=60.0)
-        desk.offer(LOOKUP, deadline=60.0)
-        order += [ticket.request_class for ticket in desk.finish_all()]
+        simulation.offer(PAYMENT, deadline=60.0)
+        simulation.offer(LOOKUP, deadline=60.0)
+        order += [ticket.request_class for ticket in simulation.finish_all()]
     assert order.count(PAYMENT) >= 28
     assert order.count(ARCHIVE) == 1
 
@@ -117,12 +119,12 @@
     """One team floods the queue, then another sends a few requests with twice the
     weight. The second gets two places for each of the first's, from then on.
     """
-    desk = Desk(limit=3)
+    simulation = PoolSimulation(limit=3)
     for _ in range(20):
-        desk.offer(team="flood", deadline=60)
+        simulation.offer(team="flood", deadline=60)
     for _ in range(6):
-        desk.offer(team="light", deadline=60, weight=2.0)
-    order = [ticket.team for _ in range(3) for ticket in desk.finish_all()]
+        simulation.offer(team="light", deadline=60, weight=2.0)
+    order = [ticket.team for _ in range(3) for ticket in simulation.finish_all()]
     assert 5 <= order.count("light") <= 6
 
 
@@ -130,20 +132,20 @@
     """The service gets so slow that the estimate exceeds every deadline. Requests
     still go through one at a time, so that a recovery is seen.
     """
-    desk = Desk()
-    desk.offer(deadline=60)
-    desk.now += 50
-    desk.finish_all(50.0)
-    assert desk.offer(deadline=1.0) == Admitted()
-    assert isinstance(desk.offer(deadline=1.0), Refused)
+    simulation = PoolSimulation()
+    simulation.offer(deadline=60)
+    simulation.now += 50
+    simulation.finish_all(50.0)
+    assert simulation.offer(deadline=1.0) == Admitted()
+    assert isinstance(simulation.offer(deadline=1.0), Refused)
 
 
 def test_refused_callers_are_told_different_times():
-    desk = Desk(limit=10)
+    simulation = PoolSimulation(limit=10)
     refused = [
         answer
         for _ in range(600)
-        if isinstance(answer := desk.offer(deadline=0.5), Refused)
+        if isinstance(answer := simulation.offer(deadline=0.5), Refused)
     ]
     seconds = [answer.retry_after_seconds for answer in refused]
     assert max(seconds.count(value) for value in set(seconds)) <= len(seconds) / 3
@@ -169,48 +171,54 @@
     """Whatever happens in whatever order, a request is sent or refused once, never
     more are in flight than the limit, and nobody waits while there is room.
     """
-    desk = Desk()
+    simulation = PoolSimulation()
     sent, refused, gone, already = [], [], set(), set()
 
-    def take(released):
+    def record_released(released):
         sent.extend(ticket.id for ticket in released.admitted)
         refused.extend(row.ticket.id for row in released.refused)
 
-    desk.last_id = 1000
+    simulation.last_id = 1000
     for kind, *rest in steps:
-        desk.now += 0.01
+        simulation.now += 0.01
         if kind == "offer":
             request_class, team, deadline = rest
-            answer = desk.offer(request_class, team, deadline)
+            answer = simulation.offer(request_class, team, deadline)
             if isinstance(answer, Admitted):
-                sent.append(desk.last_id)
+                sent.append(simulation.last_id)
             elif isinstance(answer, Refused):
-                refused.append(desk.last_id)
+                refused.append(simulation.last_id)
         elif kind == "wait":
-            desk.now += 0.2
+            simulation.now += 0.2
         elif kind == "expire":
-            take(admission.expire(desk.pool, desk.now, desk.random))
-        elif kind == "leave" and desk.last_id > 1000:
-            ticket = desk.tickets[desk.last_id]
+            record_released(
+                admission.expire(simulation.pool, simulation.now, simulation.random)
+            )
+        elif kind == "leave" and simulation.last_id > 1000:
+            ticket = simulation.tickets[simulation.last_id]
             gone.add(ticket.id)
-            take(admission.withdraw(desk.pool, ticket, desk.now, desk.random))
+            record_released(
+                admission.withdraw(
+                    simulation.pool, ticket, simulation.now, simulation.random
+                )
+            )
             already = set(sent)
-        elif kind in ("finish", "shed") and desk.pool.in_flight:
-            ticket = desk.tickets[next(iter(desk.pool.in_flight))]
+        elif kind in ("finish", "shed") and simulation.pool.in_flight:
+            ticket = simulation.tickets[next(iter(simulation.pool.in_flight))]
             ok = kind == "finish"
-            args = (desk.pool, ticket, 0.1, desk.now, desk.random)
-            take(admission.finish(*args, ok=ok))
-        assert len(desk.pool.in_flight) <= 2
-        full = len(desk.pool.in_flight) >= int(desk.pool.limiter.limit)
-        assert not desk.pool.length or full
+            args = (simulation.pool, ticket, 0.1, simulation.now, simulation.random)
+            record_released(admission.finish(*args, ok=ok))
+        assert len(simulation.pool.in_flight) <= 2
+        full = len(simulation.pool.in_flight) >= int(simulation.pool.limiter.limit)
+        assert not simulation.pool.length or full
     ended = sent + refused
     assert len(ended) == len(set(ended))
     # A caller that went away while it waited is never sent for.
     assert not gone & (set(sent) - already)
     waiting = {
         ticket.id
-        for queue in desk.pool.queues.values()
+        for queue in simulation.pool.queues.values()
         for team in queue.teams.values()
         for ticket in team.tickets
     }
-    assert set(range(1001, desk.last_id + 1)) - set(ended) - gone == waiting
+    assert set(range(1001, simulation.last_id + 1)) - set(ended) - gone == waiting
--- a/packages/core/tests/test_overload_budget.py
+++ b/packages/core/tests/test_overload_budget.py
@@ -20,8 +20,8 @@
     """Give answers of one latency for some seconds; return the end."""
     for step in range(int(seconds * rate)):
         if full:
-            limiter.note_full(row)
-        limiter.sample(row, of, latency, start + step / rate)
+            limiter.record_limit_reached(row)
+        limiter.record_sample(row, of, latency, start + step / rate)
     return start + seconds
 
 
@@ -66,9 +66,9 @@
     row = Limiter(limit=40, maximum=40, share=40)
     for step in range(2000):
         if step % every == 0:
-            limiter.failed(row, step / 200)
+            limiter.record_failure(row, step / 200)
         else:
-            limiter.sample(row, LOOKUP, 0.05, step / 200)
+            limiter.record_sample(row, LOOKUP, 0.05, step / 200)
     assert (row.limit < 20) is falls
     assert falls or row.limit == 40
 
@@ -111,9 +111,9 @@
         fair_queue.push(queue, ticket)
     for _ in range(min(taken, queue.length)):
         fair_queue.pop(queue)
-    expected = fair_queue.ahead(queue, tickets[-1])
+    expected = fair_queue.count_ahead(queue, tickets[-1])
     fair_queue.push(queue, tickets[-1])
-    order = fair_queue.in_order(queue)
+    order = fair_queue.dequeue_order(queue)
     assert abs(order.index(tickets[-1]) - expected) <= 2
     assert [fair_queue.pop(queue) for _ in order] == order
 
--- a/packages/core/tests/test_overload_full_link.py
+++ b/packages/core/tests/test_overload_full_link.py
@@ -71,16 +71,16 @@
     left_after=st.floats(0, 10),
     link=st.floats(FULL_SECONDS, 3),
     connect=st.floats(0, 3),
-    way_share=st.floats(0, 1),
+    delay_share=st.floats(0, 1),
     drain=st.floats(1, 6),
 )
 def test_no_server_gets_a_request_later_than_it_may(
-    age, left_after, link, connect, way_share, drain
+    age, left_after, link, connect, delay_share, drain
 ):
     # Whenever after the host's last word a server left, and however old that word is at
     # a send: over a full link, where a send takes no longer than a connection, a server
     # that the host does not know to have left gets nothing after its time.
     if not may_send(age, link, connect, drain):
         return
-    arrives_after = age + way_share * max(link, connect)
+    arrives_after = age + delay_share * max(link, connect)
     assert arrives_after - left_after <= drain + 1e-9
--- a/packages/core/tests/test_overload_shared_retries.py
+++ b/packages/core/tests/test_overload_shared_retries.py
@@ -13,11 +13,11 @@
 NOW = 0.0
 
 
-def budget(hosts, started_at=-30.0):
+def create_budget(hosts, started_at=-30.0):
     return SharedRetryBudget(RATIO, SLACK, hosts, WINDOW_SECONDS, started_at)
 
 
-def wanted_by_all(fleet, now, firsts_a_second, shed):
+def run_second(fleet, now, firsts_a_second, shed):
     """Return first tries and repeats of one second, as many as the hosts allow."""
     firsts = sent = 0
     for row in fleet:
@@ -60,7 +60,7 @@
 ):
     # Everything fails for half a minute, from the start or after a time in which hosts
     # saved what they may; full servers and other failures come by turns.
-    fleet = [budget(hosts) for _ in range(hosts)]
+    fleet = [create_budget(hosts) for _ in range(hosts)]
     seconds = []
     for second in range(quiet_seconds):
         for row in fleet:
@@ -69,9 +69,9 @@
         seconds.append((hosts * firsts_a_second, 0))
     for second in range(quiet_seconds, quiet_seconds + 30):
         if restarts and second == quiet_seconds + WINDOW_SECONDS // 2:
-            fleet = [budget(hosts, float(second)) for _ in range(hosts)]
+            fleet = [create_budget(hosts, float(second)) for _ in range(hosts)]
         shed = shed_seconds > 0 and second % (shed_seconds + 1) > 0
-        seconds.append(wanted_by_all(fleet, float(second), firsts_a_second, shed))
+        seconds.append(run_second(fleet, float(second), firsts_a_second, shed))
     for start in range(len(seconds) - WINDOW_SECONDS + 1):
         firsts, sent = map(
             sum, zip(*seconds[start : start + WINDOW_SECONDS], strict=True)
@@ -117,14 +117,14 @@
 
 
 def test_a_host_may_retry_a_part_of_what_it_sends():
-    row = budget(12)
+    row = create_budget(12)
     for _ in range(100):
         row.deposit("booking", NOW)
     assert row.withdraw("booking", NOW)
 
 
 def test_services_have_budgets_of_their_own():
-    row = budget(12)
+    row = create_budget(12)
     while row.withdraw("booking", NOW):
         pass
     assert row.withdraw("records", NOW)
@@ -133,7 +133,7 @@
 def test_the_most_urgent_requests_find_a_token_when_there_are_too_few_for_all():
     # Servers turn away half of what they get for seconds. Every request wants to be
     # sent again and a sixth of them can be; reservations are a quarter of them.
-    row = budget(9)
+    row = create_budget(9)
     urgent = [0, 0]
     others = [0, 0]
     for number in range(2_000):
@@ -148,7 +148,7 @@
 
 
 def test_all_requests_use_the_whole_budget_where_none_is_more_urgent():
-    row = budget(1)
+    row = create_budget(1)
     while row.withdraw("booking", NOW):
         pass
     assert row.services["booking"].tokens < 1
--- a/packages/core/tests/test_overload_trace.py
+++ b/packages/core/tests/test_overload_trace.py
@@ -11,7 +11,7 @@
 TRACE = Path(__file__).parent / "traces" / "overload_burst.jsonl"
 
 
-def decide(pool, draw, tickets, row):
+def replay_step(pool, source, tickets, row):
     """Play one line of the trace."""
     if row["do"] == "offer":
         ticket = Ticket(
@@ -23,15 +23,15 @@
             row["at"],
         )
         tickets[ticket.id] = ticket
-        answer = admission.offer(pool, ticket, row["at"], draw)
+        answer = admission.offer(pool, ticket, row["at"], source)
         if isinstance(answer, Refused):
             return [answer.kind, answer.retry_after_seconds]
         return "admitted" if isinstance(answer, Admitted) else "queued"
     if row["do"] == "finish":
         ticket = tickets[row["id"]]
-        released = admission.finish(pool, ticket, row["latency"], row["at"], draw)
+        released = admission.finish(pool, ticket, row["latency"], row["at"], source)
     else:
-        released = admission.expire(pool, row["at"], draw)
+        released = admission.expire(pool, row["at"], source)
     refused = [
         [ticket.id, refusal.kind, refusal.retry_after_seconds]
         for ticket, refusal in released.refused
@@ -45,10 +45,10 @@
     and whoever is refused hears it at least 50 ms before the deadline.
     """
     rows = [json.loads(line) for line in TRACE.read_text().splitlines()]
-    pool, draw, tickets = create_pool(4, 4), random.Random(5), {}
+    pool, source, tickets = create_pool(4, 4), random.Random(5), {}
     sent = set()
     for row in rows:
-        outcome = decide(pool, draw, tickets, row)
+        outcome = replay_step(pool, source, tickets, row)
         assert outcome == row["outcome"], row
         if outcome == "admitted":
             sent.add(row["id"])
--- a/packages/core/tests/test_rendezvous.py
+++ b/packages/core/tests/test_rendezvous.py
@@ -15,9 +15,11 @@
     Each still names the same host for what is not that one's, so a host that comes or
     goes moves only its own work.
     """
-    other = random.sample(names, len(names))
-    gone = {other.pop()} if other else set()
-    assert rank(key, other) == [one for one in rank(key, names) if one not in gone]
+    other_view = random.sample(names, len(names))
+    missing = {other_view.pop()} if other_view else set()
+    assert rank(key, other_view) == [
+        one for one in rank(key, names) if one not in missing
+    ]
 
 
 def test_keys_spread_over_hosts():
