--- a/packages/core/tests/test_overload_admission.py
+++ b/packages/core/tests/test_overload_admission.py
@@ -1,4 +1,4 @@
-"""Admission under load: deadlines, classes, teams, and when to come back."""
+"""Admission under load: deadlines, classes, teams and retry-after times."""
 
 import random
 
@@ -21,7 +21,7 @@
 
 
 class PoolSimulation:
-    """A pool with one limit, a service time, and a clock moved by hand."""
+    """A pool with a fixed limit, warmed up with one service time; manual clock."""
 
     def __init__(self, limit=2, service_seconds=0.1):
         self.pool = create_pool(limit, limit)
@@ -44,7 +44,7 @@
         return admission.offer(self.pool, ticket, self.now, self.random)
 
     def finish_all(self, latency=0.1):
-        """End all that is in flight; return the teams and classes sent next."""
+        """Complete all requests in flight; return the tickets admitted next."""
         released = [
             admission.finish(
                 self.pool, self.tickets[number], latency, self.now, self.random
@@ -54,9 +54,9 @@
         return [ticket for row in released for ticket in row.admitted]
 
 
-def test_a_request_that_cannot_finish_is_refused_at_once():
-    """Places take 100 ms each and are taken. A request with 50 ms left, and one
-    that could not get its turn in time, are refused when they arrive, not run.
+def test_a_request_that_cannot_finish_is_rejected_immediately():
+    """Requests take 100 ms each and all slots are in use. A request with 50 ms
+    left, and one that would wait too long in the queue, are rejected on arrival.
     """
     simulation = PoolSimulation()
     assert simulation.offer() == Admitted()
@@ -70,9 +70,9 @@
     assert simulation.offer(deadline=0.25).kind is ErrorKind.DEADLINE_TOO_SHORT
 
 
-def test_nobody_waits_for_most_of_a_long_deadline():
-    """Lookups with a minute to go keep coming to a full service. They wait for a
-    second at most; the others hear at once that the service is overloaded.
+def test_queue_wait_is_bounded_for_long_deadlines():
+    """Lookups with a deadline of one minute arrive at a full service. They wait for
+    one second at most; the others are rejected immediately as overloaded.
     """
     simulation = PoolSimulation()
     answers = [simulation.offer(deadline=60.0) for _ in range(30)]
@@ -81,10 +81,10 @@
     assert {row.kind for row in answers[-8:]} == {ErrorKind.OVERLOADED}
 
 
-def test_a_request_given_up_hears_it_before_its_deadline():
+def test_waiting_requests_are_rejected_before_their_deadline():
     """Six requests wait for a backend server that stops answering. Shortly before
-    their deadline the last three can't get their turn any more and are refused;
-    the three before them may still make it and are kept.
+    their deadline the last three can no longer finish in time and are rejected;
+    the first three still can and stay queued.
     """
     simulation = PoolSimulation()
     for _ in range(8):
@@ -115,9 +115,9 @@
     assert order.count(ARCHIVE) == 1
 
 
-def test_a_heavy_team_does_not_keep_a_light_one_waiting():
+def test_a_flooding_team_does_not_delay_another_team():
     """One team floods the queue, then another sends a few requests with twice the
-    weight. The second gets two places for each of the first's, from then on.
+    weight. From then on, the second gets two slots for each slot of the first.
     """
     simulation = PoolSimulation(limit=3)
     for _ in range(20):
@@ -128,9 +128,9 @@
     assert 5 <= order.count("light") <= 6
 
 
-def test_slow_answers_never_lock_admission_out():
+def test_a_high_estimate_does_not_block_admission():
     """The service gets so slow that the estimate exceeds every deadline. Requests
-    still go through one at a time, so that a recovery is seen.
+    are still admitted one at a time, so that a recovery is detected.
     """
     simulation = PoolSimulation()
     simulation.offer(deadline=60)
@@ -140,7 +140,7 @@
     assert isinstance(simulation.offer(deadline=1.0), Refused)
 
 
-def test_refused_callers_are_told_different_times():
+def test_retry_after_times_are_spread():
     simulation = PoolSimulation(limit=10)
     refused = [
         answer
@@ -168,11 +168,11 @@
 
 @given(STEPS)
 def test_each_request_ends_exactly_once(steps):
-    """Whatever happens in whatever order, a request is sent or refused once, never
-    more are in flight than the limit, and nobody waits while there is room.
+    """For any order of events, each request is sent or rejected once, no more are in
+    flight than the limit allows, and none waits while a slot is free.
     """
     simulation = PoolSimulation()
-    sent, refused, gone, already = [], [], set(), set()
+    sent, refused, withdrawn, sent_before_withdrawal = [], [], set(), set()
 
     def record_released(released):
         sent.extend(ticket.id for ticket in released.admitted)
@@ -196,13 +196,13 @@
             )
         elif kind == "leave" and simulation.last_id > 1000:
             ticket = simulation.tickets[simulation.last_id]
-            gone.add(ticket.id)
+            withdrawn.add(ticket.id)
             record_released(
                 admission.withdraw(
                     simulation.pool, ticket, simulation.now, simulation.random
                 )
             )
-            already = set(sent)
+            sent_before_withdrawal = set(sent)
         elif kind in ("finish", "shed") and simulation.pool.in_flight:
             ticket = simulation.tickets[next(iter(simulation.pool.in_flight))]
             ok = kind == "finish"
@@ -213,12 +213,12 @@
         assert not simulation.pool.length or full
     ended = sent + refused
     assert len(ended) == len(set(ended))
-    # A caller that went away while it waited is never sent for.
-    assert not gone & (set(sent) - already)
+    # Requests withdrawn while they waited are never sent.
+    assert not withdrawn & (set(sent) - sent_before_withdrawal)
     waiting = {
         ticket.id
         for queue in simulation.pool.queues.values()
         for team in queue.teams.values()
         for ticket in team.tickets
     }
-    assert set(range(1001, simulation.last_id + 1)) - set(ended) - gone == waiting
+    assert set(range(1001, simulation.last_id + 1)) - set(ended) - withdrawn == waiting
--- a/packages/core/tests/test_overload_budget.py
+++ b/packages/core/tests/test_overload_budget.py
@@ -1,4 +1,4 @@
-"""Limits, fairness, retry budget and hedging, each by itself."""
+"""Unit tests of limits, fair queueing, retry budget and hedging."""
 
 import random
 
@@ -16,80 +16,80 @@
 LOOKUP, ARCHIVE = RequestClass.LOOKUP, RequestClass.ARCHIVE
 
 
-def feed(row, latency, seconds, start, *, full=True, rate=200, of=LOOKUP):
-    """Give answers of one latency for some seconds; return the end."""
+def feed(host_limiter, latency, seconds, start, *, full=True, rate=200, of=LOOKUP):
+    """Record samples of one latency for some seconds; return the end time."""
     for step in range(int(seconds * rate)):
         if full:
-            limiter.record_limit_reached(row)
-        limiter.record_sample(row, of, latency, start + step / rate)
+            limiter.record_limit_reached(host_limiter)
+        limiter.record_sample(host_limiter, of, latency, start + step / rate)
     return start + seconds
 
 
-def test_the_limit_falls_with_latency_and_comes_back():
+def test_the_limit_falls_with_latency_and_recovers():
     """Backend servers slow down fourfold for two seconds and recover. The limit
-    falls to under half meanwhile and grows again after that.
+    falls below half and grows again after the recovery.
     """
-    row = Limiter(limit=40, maximum=60, share=40)
-    now = feed(row, 0.05, 5, 0.0)
-    before = row.limit
-    now = feed(row, 0.2, 4, now)
-    assert row.limit < before / 2
-    low = row.limit
-    feed(row, 0.05, 10, now)
-    assert row.limit > 1.5 * low
+    host_limiter = Limiter(limit=40, maximum=60, share=40)
+    now = feed(host_limiter, 0.05, 5, 0.0)
+    before = host_limiter.limit
+    now = feed(host_limiter, 0.2, 4, now)
+    assert host_limiter.limit < before / 2
+    low = host_limiter.limit
+    feed(host_limiter, 0.05, 10, now)
+    assert host_limiter.limit > 1.5 * low
 
 
 @pytest.mark.parametrize(("limit", "falls"), [(10, False), (40, True)])
-def test_hosts_over_one_service_come_near_their_shares(limit, falls):
-    """Two hosts see the same queue in the backend servers, answers take twice as
-    long. The one below its share keeps its limit, the one above it gives way.
+def test_host_limits_converge_to_their_shares(limit, falls):
+    """Two hosts see the same queueing in the backend servers, which doubles the
+    latency. The host below its share keeps its limit, the one above lowers it.
     """
-    row = Limiter(limit=limit, maximum=60, share=20)
-    now = feed(row, 0.05, 5, 0.0, full=False)
-    feed(row, 0.1, 5, now, full=False)
-    assert (row.limit < limit) is falls
+    host_limiter = Limiter(limit=limit, maximum=60, share=20)
+    now = feed(host_limiter, 0.05, 5, 0.0, full=False)
+    feed(host_limiter, 0.1, 5, now, full=False)
+    assert (host_limiter.limit < limit) is falls
 
 
 @pytest.mark.parametrize(("full", "grows"), [(True, True), (False, False)])
-def test_the_limit_grows_only_where_it_held_requests_back(full, grows):
-    row = Limiter(limit=10, maximum=20, share=10)
-    feed(row, 0.05, 15, 0.0, full=full)
-    assert (row.limit > 10) is grows
-    assert row.limit <= 20
+def test_the_limit_grows_only_after_it_was_reached(full, grows):
+    host_limiter = Limiter(limit=10, maximum=20, share=10)
+    feed(host_limiter, 0.05, 15, 0.0, full=full)
+    assert (host_limiter.limit > 10) is grows
+    assert host_limiter.limit <= 20
 
 
 @pytest.mark.parametrize(("every", "falls"), [(20, False), (3, True), (1, True)])
 def test_the_limit_falls_when_many_fail_and_not_for_one_server(every, falls):
-    """One backend server of twenty fails all the time, until it is ejected: the
-    others carry the load, so the limit stays. When a third sheds, it falls.
+    """One backend server of twenty fails all requests until it is ejected. The
+    others carry the load, so the limit stays. When a third shed load, it falls.
     """
-    row = Limiter(limit=40, maximum=40, share=40)
+    host_limiter = Limiter(limit=40, maximum=40, share=40)
     for step in range(2000):
         if step % every == 0:
-            limiter.record_failure(row, step / 200)
+            limiter.record_failure(host_limiter, step / 200)
         else:
-            limiter.record_sample(row, LOOKUP, 0.05, step / 200)
-    assert (row.limit < 20) is falls
-    assert falls or row.limit == 40
+            limiter.record_sample(host_limiter, LOOKUP, 0.05, step / 200)
+    assert (host_limiter.limit < 20) is falls
+    assert falls or host_limiter.limit == 40
 
 
 def test_archives_do_not_look_like_a_slow_backend_server():
-    row = Limiter(limit=10, maximum=10, share=10)
-    now = feed(row, 0.05, 5, 0.0, full=False)
-    now = feed(row, 2.0, 5, now, full=False, of=ARCHIVE)
-    assert row.limit == 10
+    host_limiter = Limiter(limit=10, maximum=10, share=10)
+    now = feed(host_limiter, 0.05, 5, 0.0, full=False)
+    now = feed(host_limiter, 2.0, 5, now, full=False, of=ARCHIVE)
+    assert host_limiter.limit == 10
 
 
-def test_a_service_slower_for_good_gets_its_limit_back():
-    """A cold cache triples the latency for minutes. After the baseline's two
-    periods the limit no longer falls, though answers stay slow.
+def test_the_limit_recovers_when_latency_stays_high():
+    """A cold cache triples the latency for minutes. After two baseline periods the
+    limit no longer falls, although the latency stays high.
     """
-    row = Limiter(limit=40, maximum=40, share=40)
-    now = feed(row, 0.05, 5, 0.0)
-    now = feed(row, 0.15, 45, now)
-    lowest = row.limit
-    feed(row, 0.15, 30, now)
-    assert row.limit > lowest
+    host_limiter = Limiter(limit=40, maximum=40, share=40)
+    now = feed(host_limiter, 0.05, 5, 0.0)
+    now = feed(host_limiter, 0.15, 45, now)
+    lowest = host_limiter.limit
+    feed(host_limiter, 0.15, 30, now)
+    assert host_limiter.limit > lowest
 
 
 TICKETS = st.lists(
@@ -100,7 +100,7 @@
 
 
 @given(TICKETS, st.integers(0, 10))
-def test_the_estimate_is_the_place_in_the_queue(rows, taken):
+def test_count_ahead_matches_the_queue_position(rows, taken):
     queue = ClassQueue()
     weights = dict(rows)
     tickets = [
@@ -118,9 +118,9 @@
     assert [fair_queue.pop(queue) for _ in order] == order
 
 
-def test_retries_stay_a_tenth_of_the_requests():
-    """Every try fails and every request would be sent twice more. The budget lets
-    a tenth of them through, so that failing servers don't get three times the load.
+def test_retries_are_limited_to_a_tenth_of_the_requests():
+    """Every attempt fails and every request would be retried twice. The budget allows
+    retries for a tenth of them, so that failing servers don't get triple the load.
     """
     budget = RetryBudget()
     allowed = 0
@@ -147,7 +147,7 @@
         (0.2, True, 5, 4, False),
     ],
 )
-def test_only_late_repeatable_reads_are_hedged(
+def test_only_slow_repeatable_requests_are_hedged(
     elapsed, repeatable, tokens, in_flight, hedged
 ):
     quantile = LatencyQuantile()
@@ -161,7 +161,7 @@
     assert budget.tokens == tokens - hedged
 
 
-def test_a_team_is_held_to_its_rate():
+def test_a_team_is_limited_to_its_rate():
     limits = TeamLimits()
     taken = [team_limits.take(limits, "a", 10, 5, step / 100) for step in range(200)]
     assert 23 <= taken.count(0.0) <= 25
--- a/packages/core/tests/test_overload_full_link.py
+++ b/packages/core/tests/test_overload_full_link.py
@@ -1,4 +1,4 @@
-"""Old news on a full link: when a host must not send, and when it must all the same."""
+"""Stale state on a saturated link: when a host must not send, and when it may."""
 
 import pytest
 from hypothesis import given
@@ -26,11 +26,11 @@
         ([(0.1, 0.5)] * SAMPLES_MIN + [(WINDOW_SECONDS + 0.1, 0.002)], 0.5),
         ([(WINDOW_SECONDS + 0.1, 0.5)] * SAMPLES_MIN, 0.0),
     ],
-    ids=["none", "few", "all slow", "one quick", "quick before", "long ago"],
+    ids=["none", "too few", "all slow", "one fast", "expired fast", "all expired"],
 )
-def test_a_link_is_as_slow_as_its_quickest_connection_of_late(samples, seconds):
-    # Servers of a lost zone take no connection, on whatever link. Only where none comes
-    # about quickly is it the host's own link.
+def test_link_delay_is_the_fastest_recent_connection(samples, seconds):
+    # Servers of a failed zone accept no connections, whatever the link. The host's own
+    # link is the cause only if no connection is made quickly.
     link = LinkDelay()
     for ago, taken in sorted(samples, reverse=True):
         link.note(taken, NOW - ago)
@@ -54,15 +54,17 @@
         "fresh",
         "just in time",
         "too late",
-        "too late on a kept connection",
+        "too late on a reused connection",
         "this connection took longer",
         "one slow server",
-        "store away",
-        "never heard",
-        "never heard, full",
+        "store unreachable",
+        "no update yet",
+        "no update yet, saturated",
     ],
 )
-def test_nothing_is_sent_that_may_come_after_a_server_left(age, link, connect, sent):
+def test_no_request_is_sent_that_may_arrive_after_a_server_exits(
+    age, link, connect, sent
+):
     assert may_send(age, link, connect, DRAIN) is sent
 
 
@@ -74,12 +76,12 @@
     delay_share=st.floats(0, 1),
     drain=st.floats(1, 6),
 )
-def test_no_server_gets_a_request_later_than_it_may(
+def test_no_request_arrives_after_the_drain_time(
     age, left_after, link, connect, delay_share, drain
 ):
-    # Whenever after the host's last word a server left, and however old that word is at
-    # a send: over a full link, where a send takes no longer than a connection, a server
-    # that the host does not know to have left gets nothing after its time.
+    # A server leaves at any time after the host's last update, whose age at the send is
+    # arbitrary. Over a saturated link, where a send takes no longer than a connect, a
+    # server that the host still lists gets no request after its drain time.
     if not may_send(age, link, connect, drain):
         return
     arrives_after = age + delay_share * max(link, connect)
--- a/packages/core/tests/test_overload_trace.py
+++ b/packages/core/tests/test_overload_trace.py
@@ -1,4 +1,4 @@
-"""Replay a recorded burst and get the recorded decisions."""
+"""Replay a recorded burst and compare the decisions."""
 
 import json
 import random
@@ -12,7 +12,7 @@
 
 
 def replay_step(pool, source, tickets, row):
-    """Play one line of the trace."""
+    """Apply one line of the trace and return the outcome."""
     if row["do"] == "offer":
         ticket = Ticket(
             row["id"],
@@ -40,9 +40,9 @@
 
 
 def test_a_burst_replays_to_the_same_decisions():
-    """Four places, requests at a rate they carry, then for half a second three
-    times as many. Every decision is as recorded, each time. All payments are sent,
-    and whoever is refused hears it at least 50 ms before the deadline.
+    """Four slots get requests at a rate that they can serve, then three times as many
+    for half a second. Every decision is the recorded one. All payments are sent, and
+    waiting requests are rejected at least 50 ms before their deadline.
     """
     rows = [json.loads(line) for line in TRACE.read_text().splitlines()]
     pool, source, tickets = create_pool(4, 4), random.Random(5), {}
--- a/packages/core/tests/test_rendezvous.py
+++ b/packages/core/tests/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing, by which hosts share work without asking each other."""
+"""Rendezvous hashing, which assigns work to hosts without coordination."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -10,10 +10,10 @@
 
 @given(st.text("abc-"), NAMES, st.randoms())
 def test_views_that_differ_in_one_host_rank_the_others_alike(key, names, random):
-    """Two hosts see one host more or less, in another order.
+    """Two views differ in one host and in the order of hosts.
 
-    Each still names the same host for what is not that one's, so a host that comes or
-    goes moves only its own work.
+    Both assign all keys that don't belong to that host to the same hosts, so a host
+    that joins or leaves moves only its own work.
     """
     other_view = random.sample(names, len(names))
     missing = {other_view.pop()} if other_view else set()
