--- a/measure/overload.py
+++ b/measure/overload.py
@@ -9,7 +9,7 @@
 from typing import Final, NamedTuple, Protocol
 
 from greengagepoint.overload import admission
-from greengagepoint.overload.tables import Admitted, Refused, Ticket, create_pool
+from greengagepoint.overload.tables import Admitted, Rejected, Ticket, create_pool
 from greengagepoint.records.schemas import RequestClass
 from measure.figure import Figure
 
@@ -189,7 +189,7 @@
     def offer(self, ticket: Ticket, now: float) -> int | None:
         """Ask admission."""
         answer = admission.offer(self.pool, ticket, now, self.random)
-        if isinstance(answer, Refused):
+        if isinstance(answer, Rejected):
             return answer.retry_after_seconds
         if isinstance(answer, Admitted):
             self.replay.send(ticket, now)
--- a/packages/core/greengagepoint/overload/admission.py
+++ b/packages/core/greengagepoint/overload/admission.py
@@ -11,8 +11,8 @@
     ClassQueue,
     Pool,
     Queued,
-    Refused,
-    RefusedTicket,
+    Rejected,
+    RejectedTicket,
     Released,
     Ticket,
 )
@@ -33,7 +33,7 @@
 
 def offer(
     pool: Pool, ticket: Ticket, now: float, random: Random
-) -> Admitted | Queued | Refused:
+) -> Admitted | Queued | Rejected:
     """Admit, queue or reject a new request."""
     queue = pool.queues[ticket.request_class]
     if not _can_finish(queue, ticket, now, 0.0):
@@ -92,7 +92,7 @@
     They are rejected early instead of at the deadline, so that their callers still
     have time to try another host.
     """
-    refused: list[RefusedTicket] = []
+    refused: list[RejectedTicket] = []
     higher_count = 0
     for name in CLASS_ORDER:
         queue = pool.queues[name]
@@ -104,7 +104,7 @@
                 continue
             fair_queue.remove(queue, ticket)
             rejection = _reject(pool, ErrorKind.DEADLINE_TOO_SHORT, now, random)
-            refused.append(RefusedTicket(ticket, rejection))
+            refused.append(RejectedTicket(ticket, rejection))
         higher_count += own_count
     released = admit_waiting(pool, now, random)
     return Released(released.admitted, (*refused, *released.refused))
@@ -113,7 +113,7 @@
 def admit_waiting(pool: Pool, now: float, random: Random) -> Released:
     """Admit waiting requests while slots are free, most important class first."""
     admitted: list[Ticket] = []
-    refused: list[RefusedTicket] = []
+    refused: list[RejectedTicket] = []
     while _has_free_slot(pool, now):
         queue = _next_queue(pool)
         ticket = fair_queue.pop(queue) if queue else None
@@ -124,7 +124,7 @@
             admitted.append(ticket)
             continue
         rejection = _reject(pool, ErrorKind.DEADLINE_TOO_SHORT, now, random)
-        refused.append(RefusedTicket(ticket, rejection))
+        refused.append(RejectedTicket(ticket, rejection))
     return Released(tuple(admitted), tuple(refused))
 
 
@@ -174,9 +174,9 @@
     return lower[pool.turns // estimates.LOWER_CLASS_EVERY % len(lower)]
 
 
-def _reject(pool: Pool, kind: ErrorKind, now: float, random: Random) -> Refused:
+def _reject(pool: Pool, kind: ErrorKind, now: float, random: Random) -> Rejected:
     """Build a rejection with the time after which to retry."""
     seconds = retry_after_seconds(pool, now, random)
     waiting = pool.length
     detail = f"{len(pool.in_flight)} in flight, {waiting} waiting"
-    return Refused(kind, seconds, detail)
+    return Rejected(kind, seconds, detail)
--- a/packages/core/greengagepoint/overload/full_link.py
+++ b/packages/core/greengagepoint/overload/full_link.py
@@ -14,14 +14,14 @@
 
 # Hosts of a region are 1 ms apart, regions up to 35 ms one way. A round trip to a busy
 # server stays below this value.
-FULL_SECONDS: Final = 0.2
+FULL_LINK_SECONDS: Final = 0.2
 # A saturated link delays every connection. Fewer slow connections than this within the
 # window may all be to servers of one failed zone.
 SAMPLES_MIN: Final = 4
 WINDOW_SECONDS: Final = 1.5
 # State older than this that no peer can update means that the store is unreachable:
 # hosts that reach the store, or a peer that does, are at most 1.6 s behind.
-STORE_AWAY_SECONDS: Final = 2.0
+STORE_UNREACHABLE_SECONDS: Final = 2.0
 
 
 class Sample(NamedTuple):
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         self.samples: deque[Sample] = deque()
 
-    def note(self, seconds: float, now: float) -> None:
+    def record(self, seconds: float, now: float) -> None:
         """Record the seconds until a connection was made or abandoned."""
         self._drop_old_samples(now)
         self.samples.append(Sample(now, seconds))
@@ -51,7 +51,7 @@
 
     def is_full(self, now: float) -> bool:
         """Return True if the link delays all traffic of this host."""
-        return self.seconds(now) >= FULL_SECONDS
+        return self.seconds(now) >= FULL_LINK_SECONDS
 
     def _drop_old_samples(self, now: float) -> None:
         """Drop samples older than the window."""
@@ -69,6 +69,6 @@
     connect time of this request, 0 on a reused connection. A request that is written
     now arrives in less time than it takes to connect.
     """
-    if link_seconds < FULL_SECONDS:
+    if link_seconds < FULL_LINK_SECONDS:
         return True
     return state_age + max(link_seconds, connect_seconds) <= drain_seconds
--- a/packages/core/greengagepoint/overload/retries.py
+++ b/packages/core/greengagepoint/overload/retries.py
@@ -60,7 +60,7 @@
     return max_delay * random.random()
 
 
-def note_latency(quantile: LatencyQuantile, seconds: float) -> None:
+def record_latency(quantile: LatencyQuantile, seconds: float) -> None:
     """Record the latency of one response in seconds."""
     if len(quantile.recent) >= HEDGE_SAMPLES:
         quantile.sorted_seconds.remove(quantile.recent.popleft())
--- a/packages/core/greengagepoint/overload/shared_retries.py
+++ b/packages/core/greengagepoint/overload/shared_retries.py
@@ -33,8 +33,8 @@
     """Tokens for one service, and the attempts that a host sent to it by second."""
 
     tokens: float
-    firsts: dict[int, int] = field(default_factory=dict)
-    repeats: dict[int, int] = field(default_factory=dict)
+    first_attempt_counts: dict[int, int] = field(default_factory=dict)
+    retry_counts: dict[int, int] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
@@ -64,7 +64,7 @@
             STARTUP_RATIO_UTILIZATION if self._is_starting(now) else RATIO_UTILIZATION
         )
         usage.tokens = min(self.max_tokens(), usage.tokens + self.ratio * utilization)
-        self._record_send(usage.firsts, now)
+        self._record_send(usage.first_attempt_counts, now)
 
     def withdraw(
         self, service: str, now: float, *, urgent: bool = True, shed: bool = False
@@ -79,7 +79,7 @@
         if usage.tokens < 1 + reserved and (shed or not self._can_overdraw(usage, now)):
             return False
         usage.tokens -= 1
-        self._record_send(usage.repeats, now)
+        self._record_send(usage.retry_counts, now)
         return True
 
     def _can_overdraw(self, usage: ServiceUsage, now: float) -> bool:
@@ -91,10 +91,15 @@
         if self._is_starting(now):
             return False
         allowed = (
-            RATIO_UTILIZATION * self.ratio * self._count_in_window(usage.firsts, now)
+            RATIO_UTILIZATION
+            * self.ratio
+            * self._count_in_window(usage.first_attempt_counts, now)
         )
         in_debt = usage.tokens - 1 < -OVERDRAFT_SHARE * allowed
-        return not in_debt and self._count_in_window(usage.repeats, now) + 1 <= allowed
+        return (
+            not in_debt
+            and self._count_in_window(usage.retry_counts, now) + 1 <= allowed
+        )
 
     def _is_starting(self, now: float) -> bool:
         """Return True if the last window began before this host started."""
--- a/packages/core/greengagepoint/overload/tables.py
+++ b/packages/core/greengagepoint/overload/tables.py
@@ -33,7 +33,7 @@
     wait_seconds: float
 
 
-class Refused(NamedTuple):
+class Rejected(NamedTuple):
     """The request has not run; the caller may retry after some seconds."""
 
     kind: ErrorKind
@@ -41,18 +41,18 @@
     detail: str
 
 
-class RefusedTicket(NamedTuple):
+class RejectedTicket(NamedTuple):
     """A waiting request that was rejected."""
 
     ticket: Ticket
-    refusal: Refused
+    rejection: Rejected
 
 
 class Released(NamedTuple):
     """Requests that left the queue: admitted ones to send, and rejected ones."""
 
     admitted: tuple[Ticket, ...]
-    refused: tuple[RefusedTicket, ...]
+    refused: tuple[RejectedTicket, ...]
 
 
 @dataclass(slots=True)
--- a/packages/core/tests/test_overload_admission.py
+++ b/packages/core/tests/test_overload_admission.py
@@ -11,7 +11,7 @@
 from greengagepoint.overload.tables import (
     Admitted,
     Queued,
-    Refused,
+    Rejected,
     Ticket,
     create_pool,
 )
@@ -62,7 +62,7 @@
     assert simulation.offer() == Admitted()
     assert simulation.offer() == Admitted()
     rejected = simulation.offer(deadline=0.05)
-    assert isinstance(rejected, Refused)
+    assert isinstance(rejected, Rejected)
     assert rejected.kind is ErrorKind.DEADLINE_TOO_SHORT
     assert isinstance(simulation.offer(deadline=0.5), Queued)
     for _ in range(3):
@@ -95,9 +95,9 @@
         simulation.pool, simulation.now, simulation.random
     ).refused
     assert [row.ticket.id for row in refused] == [22, 23, 24]
-    for ticket, refusal in refused:
-        assert refusal.kind is ErrorKind.DEADLINE_TOO_SHORT
-        assert refusal.retry_after_seconds >= 1
+    for ticket, rejection in refused:
+        assert rejection.kind is ErrorKind.DEADLINE_TOO_SHORT
+        assert rejection.retry_after_seconds >= 1
         assert ticket.ends_at > simulation.now
         assert ticket.id not in simulation.pool.in_flight
 
@@ -137,7 +137,7 @@
     simulation.now += 50
     simulation.finish_all(50.0)
     assert simulation.offer(deadline=1.0) == Admitted()
-    assert isinstance(simulation.offer(deadline=1.0), Refused)
+    assert isinstance(simulation.offer(deadline=1.0), Rejected)
 
 
 def test_retry_after_times_are_spread():
@@ -145,7 +145,7 @@
     refused = [
         answer
         for _ in range(600)
-        if isinstance(answer := simulation.offer(deadline=0.5), Refused)
+        if isinstance(answer := simulation.offer(deadline=0.5), Rejected)
     ]
     seconds = [answer.retry_after_seconds for answer in refused]
     assert max(seconds.count(value) for value in set(seconds)) <= len(seconds) / 3
@@ -186,7 +186,7 @@
             answer = simulation.offer(request_class, team, deadline)
             if isinstance(answer, Admitted):
                 sent.append(simulation.last_id)
-            elif isinstance(answer, Refused):
+            elif isinstance(answer, Rejected):
                 refused.append(simulation.last_id)
         elif kind == "wait":
             simulation.now += 0.2
--- a/packages/core/tests/test_overload_budget.py
+++ b/packages/core/tests/test_overload_budget.py
@@ -152,7 +152,7 @@
 ):
     quantile = LatencyQuantile()
     for number in range(1, 301):
-        retries.note_latency(quantile, 0.1 if number % 40 else 0.3)
+        retries.record_latency(quantile, 0.1 if number % 40 else 0.3)
     pool = create_pool(4, 4)
     pool.in_flight = dict.fromkeys(range(in_flight), 0.0)
     budget = RetryBudget(tokens)
--- a/packages/core/tests/test_overload_full_link.py
+++ b/packages/core/tests/test_overload_full_link.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from greengagepoint.overload.full_link import (
-    FULL_SECONDS,
+    FULL_LINK_SECONDS,
     SAMPLES_MIN,
     WINDOW_SECONDS,
     LinkDelay,
@@ -33,7 +33,7 @@
     # link is the cause only if no connection is made quickly.
     link = LinkDelay()
     for ago, taken in sorted(samples, reverse=True):
-        link.note(taken, NOW - ago)
+        link.record(taken, NOW - ago)
     assert link.seconds(NOW) == seconds
 
 
@@ -48,7 +48,7 @@
         (2.9, 0.01, 0.6, True),
         (60.0, 0.01, 0.0, True),
         (float("inf"), 0.0, 0.0, True),
-        (float("inf"), FULL_SECONDS, 0.0, False),
+        (float("inf"), FULL_LINK_SECONDS, 0.0, False),
     ],
     ids=[
         "fresh",
@@ -71,7 +71,7 @@
 @given(
     age=st.floats(0, 10),
     left_after=st.floats(0, 10),
-    link=st.floats(FULL_SECONDS, 3),
+    link=st.floats(FULL_LINK_SECONDS, 3),
     connect=st.floats(0, 3),
     delay_share=st.floats(0, 1),
     drain=st.floats(1, 6),
--- a/packages/core/tests/test_overload_trace.py
+++ b/packages/core/tests/test_overload_trace.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from greengagepoint.overload import admission
-from greengagepoint.overload.tables import Admitted, Refused, Ticket, create_pool
+from greengagepoint.overload.tables import Admitted, Rejected, Ticket, create_pool
 from greengagepoint.records.schemas import RequestClass
 
 TRACE = Path(__file__).parent / "traces" / "overload_burst.jsonl"
@@ -24,7 +24,7 @@
         )
         tickets[ticket.id] = ticket
         answer = admission.offer(pool, ticket, row["at"], source)
-        if isinstance(answer, Refused):
+        if isinstance(answer, Rejected):
             return [answer.kind, answer.retry_after_seconds]
         return "admitted" if isinstance(answer, Admitted) else "queued"
     if row["do"] == "finish":
@@ -33,8 +33,8 @@
     else:
         released = admission.expire(pool, row["at"], source)
     refused = [
-        [ticket.id, refusal.kind, refusal.retry_after_seconds]
-        for ticket, refusal in released.refused
+        [ticket.id, rejection.kind, rejection.retry_after_seconds]
+        for ticket, rejection in released.refused
     ]
     return {"admitted": [row.id for row in released.admitted], "refused": refused}
 
--- a/packages/node/greengagepoint_node/gateway/connect_times.py
+++ b/packages/node/greengagepoint_node/gateway/connect_times.py
@@ -6,7 +6,7 @@
 
 import aiohttp
 
-from greengagepoint.overload.full_link import FULL_SECONDS, LinkDelay
+from greengagepoint.overload.full_link import FULL_LINK_SECONDS, LinkDelay
 from greengagepoint.protocols import Clock
 
 
@@ -18,7 +18,7 @@
 
     async def async_end(_: Any, context: SimpleNamespace, __: Any) -> None:
         now = clock.monotonic()
-        link.note(now - context.began_at, now)
+        link.record(now - context.began_at, now)
         context.began_at = None
 
     async def async_fail(
@@ -31,11 +31,11 @@
             return
         now = clock.monotonic()
         given_up = isinstance(params.exception, asyncio.CancelledError)
-        if given_up and now - began_at < FULL_SECONDS:
+        if given_up and now - began_at < FULL_LINK_SECONDS:
             # A caller has left. On a full link the connection would have taken longer;
             # taken for a quick one, it would make the link look free.
             return
-        link.note(now - began_at, now)
+        link.record(now - began_at, now)
 
     trace = aiohttp.TraceConfig()
     trace.on_connection_create_start.append(async_begin)
--- a/packages/node/greengagepoint_node/gateway/news_ages.py
+++ b/packages/node/greengagepoint_node/gateway/news_ages.py
@@ -3,7 +3,7 @@
 from typing import Protocol
 
 from greengagepoint.config.watchers import CURRENT_SECONDS
-from greengagepoint.overload.full_link import STORE_AWAY_SECONDS
+from greengagepoint.overload.full_link import STORE_UNREACHABLE_SECONDS
 from greengagepoint.protocols import Clock
 
 NEVER = float("-inf")
@@ -52,7 +52,7 @@
         have is news that the store does not tell.
         """
         self.peers_at = max(self.peers_at, told_at - age)
-        if age > STORE_AWAY_SECONDS and not full_link:
+        if age > STORE_UNREACHABLE_SECONDS and not full_link:
             self.as_peers_at = max(self.as_peers_at, told_at)
 
     def complete_at(self) -> float:
--- a/packages/node/greengagepoint_node/proxy/admission.py
+++ b/packages/node/greengagepoint_node/proxy/admission.py
@@ -13,7 +13,7 @@
 from greengagepoint.overload.tables import (
     Pool,
     Queued,
-    Refused,
+    Rejected,
     Released,
     Ticket,
     create_pool,
@@ -75,7 +75,7 @@
         gate = self._gate(call.service.name)
         ticket = self._ticket(call, now)
         decision = admission.offer(gate.pool, ticket, now, self.random)
-        if isinstance(decision, Refused):
+        if isinstance(decision, Rejected):
             raise _refusal(decision)
         call.ticket = ticket
         if isinstance(decision, Queued):
@@ -90,7 +90,7 @@
         gate = self._gate(call.service.name)
         now = self.clock.monotonic()
         if latency_seconds is not None:
-            retries.note_latency(gate.latencies, latency_seconds)
+            retries.record_latency(gate.latencies, latency_seconds)
         released = admission.finish(
             gate.pool, call.ticket, latency_seconds, now, self.random, ok=not failed
         )
@@ -155,7 +155,7 @@
         for refused in released.refused:
             future = self.waiting.get(refused.ticket.id)
             if future is not None and not future.done():
-                future.set_exception(_refusal(refused.refusal))
+                future.set_exception(_refusal(refused.rejection))
 
     def _gate(self, service: str) -> Gate:
         """Return the admission of a service, made on first use."""
@@ -177,7 +177,7 @@
         )
 
 
-def _refusal(refused: Refused) -> RequestError:
+def _refusal(refused: Rejected) -> RequestError:
     """Return the error for a request that is given up."""
     return RequestError(
         refused.detail,
--- a/packages/node/tests/test_gateway_connect_times.py
+++ b/packages/node/tests/test_gateway_connect_times.py
@@ -6,7 +6,7 @@
 import aiohttp
 import pytest
 
-from greengagepoint.overload.full_link import FULL_SECONDS, SAMPLES_MIN, LinkDelay
+from greengagepoint.overload.full_link import FULL_LINK_SECONDS, SAMPLES_MIN, LinkDelay
 from greengagepoint_node.gateway.connect_times import trace_connections
 
 
@@ -53,7 +53,7 @@
     trace = trace_connections(link, clock)
     for _ in range(SAMPLES_MIN):
         await async_connect(trace, clock, 0.3, None)
-    assert link.seconds(clock.now) >= FULL_SECONDS
+    assert link.seconds(clock.now) >= FULL_LINK_SECONDS
     await async_connect(trace, clock, seconds, error)
     assert link.is_full(clock.now) is full
 
--- a/packages/node/tests/test_gateway_large_values.py
+++ b/packages/node/tests/test_gateway_large_values.py
@@ -113,7 +113,7 @@
             await gossip._async_exchange(relay.address)
             assert not asker.knows(VERSION), "a free link: the peer may be dead"
             for _ in range(SAMPLES_MIN):
-                gossip.link.note(0.5, gossip.clock.monotonic())
+                gossip.link.record(0.5, gossip.clock.monotonic())
             link.free_at = asyncio.get_running_loop().time() + 0.8
             await gossip._async_exchange(relay.address)
             assert asker.knows(VERSION)
--- a/packages/node/tests/test_gateway_leaving_servers.py
+++ b/packages/node/tests/test_gateway_leaving_servers.py
@@ -102,7 +102,7 @@
         steps = async_choose(world, "/safe/1", "GET")
         drain(world, await anext(steps))
         assert (await anext(steps))[0] == 200
-        assert not world.daemon.retries.services["booking"].repeats
+        assert not world.daemon.retries.services["booking"].retry_counts
 
 
 CONNECTIONS = 4
