--- a/packages/core/tests/test_overload_trace.py
+++ b/packages/core/tests/test_overload_trace.py
@@ -1,18 +1,18 @@
-"""Replay a recorded burst and get the recorded decisions."""
+"""Replay a recorded burst and compare the decisions."""
 
 import json
 import random
 from pathlib import Path
 
 from greengagepoint.overload import admission
-from greengagepoint.overload.tables import Admitted, Refused, Ticket, create_pool
+from greengagepoint.overload.tables import Admitted, Rejected, Ticket, create_pool
 from greengagepoint.records.schemas import RequestClass
 
 TRACE = Path(__file__).parent / "traces" / "overload_burst.jsonl"
 
 
-def decide(pool, draw, tickets, row):
-    """Play one line of the trace."""
+def replay_step(pool, source, tickets, row):
+    """Apply one line of the trace and return the outcome."""
     if row["do"] == "offer":
         ticket = Ticket(
             row["id"],
@@ -23,32 +23,32 @@
             row["at"],
         )
         tickets[ticket.id] = ticket
-        answer = admission.offer(pool, ticket, row["at"], draw)
-        if isinstance(answer, Refused):
+        answer = admission.offer(pool, ticket, row["at"], source)
+        if isinstance(answer, Rejected):
             return [answer.kind, answer.retry_after_seconds]
         return "admitted" if isinstance(answer, Admitted) else "queued"
     if row["do"] == "finish":
         ticket = tickets[row["id"]]
-        released = admission.finish(pool, ticket, row["latency"], row["at"], draw)
+        released = admission.finish(pool, ticket, row["latency"], row["at"], source)
     else:
-        released = admission.expire(pool, row["at"], draw)
+        released = admission.expire(pool, row["at"], source)
     refused = [
-        [ticket.id, refusal.kind, refusal.retry_after_seconds]
-        for ticket, refusal in released.refused
+        [ticket.id, rejection.kind, rejection.retry_after_seconds]
+        for ticket, rejection in released.refused
     ]
     return {"admitted": [row.id for row in released.admitted], "refused": refused}
 
 
 def test_a_burst_replays_to_the_same_decisions():
-    """Four places, requests at a rate they carry, then for half a second three
-    times as many. Every decision is as recorded, each time. All payments are sent,
-    and whoever is refused hears it at least 50 ms before the deadline.
+    """Four slots get requests at a rate that they can serve, then three times as many
+    for half a second. Every decision is the recorded one. All payments are sent, and
+    waiting requests are rejected at least 50 ms before their deadline.
     """
     rows = [json.loads(line) for line in TRACE.read_text().splitlines()]
-    pool, draw, tickets = create_pool(4, 4), random.Random(5), {}
+    pool, source, tickets = create_pool(4, 4), random.Random(5), {}
     sent = set()
     for row in rows:
-        outcome = decide(pool, draw, tickets, row)
+        outcome = replay_step(pool, source, tickets, row)
         assert outcome == row["outcome"], row
         if outcome == "admitted":
             sent.add(row["id"])
