--- a/packages/core/greengagepoint/routing/split.py
+++ b/packages/core/greengagepoint/routing/split.py
@@ -1,21 +1,21 @@
-"""Spread the requests of a route over its destinations by weight."""
+"""Split the requests of a route between its destinations by weight."""
 
 from greengagepoint.routing.tables import Destination, Route
 
 
 class WeightedSplit:
-    """Smooth weighted round robin, one state a route.
+    """Choose destinations by smooth weighted round robin, with a state per route.
 
-    Random choice strays from the weights by several hundredths over the few hundred
-    requests that an operator looks at; round robin strays by at most one request a
-    host.
+    Random choice deviates from the weights by several percentage points over the few
+    hundred requests that an operator looks at; round robin deviates by at most one
+    request per host.
     """
 
     def __init__(self) -> None:
         self.credits: dict[tuple[str, tuple[Destination, ...]], list[float]] = {}
 
     def choose(self, route: Route) -> str:
-        """Return the service that the next request of a route goes to."""
+        """Return the service for the next request of a route."""
         destinations = route.destinations
         if len(destinations) == 1:
             return destinations[0].service
@@ -28,7 +28,7 @@
         credits[chosen] -= sum(destination.weight for destination in destinations)
         return destinations[chosen].service
 
-    def keep(self, routes: set[str]) -> None:
-        """Forget routes that no longer exist."""
+    def retain(self, routes: set[str]) -> None:
+        """Drop the state of routes whose names are not in ``routes``."""
         for key in [key for key in self.credits if key[0] not in routes]:
             del self.credits[key]
--- a/packages/core/greengagepoint/routing/tables.py
+++ b/packages/core/greengagepoint/routing/tables.py
@@ -1,4 +1,4 @@
-"""What operators say of routes, services and callers' limits."""
+"""The routing table: routes, services and callers' limits set by operators."""
 
 from bisect import bisect_left
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 
 
 class RequestKind(StrEnum):
-    """What a request's kind says of repeating it."""
+    """The kind of a request, which decides whether it may be repeated."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -29,12 +29,13 @@
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """How requests under one path prefix of one host are treated.
+    """How to handle requests under one path prefix of one host name.
 
-    ``rank`` is the order under overload, 0 first. ``home_regions`` empty means any.
-    Callers of a ``public`` route need no key of an account.
-    Nothing in a route leads back to it, so the garbage collector need not know it; a
-    full collection would walk through thousands of them in one step of the event loop.
+    ``rank`` is the priority under overload, 0 first. Empty ``home_regions`` allow any
+    region. Callers of a ``public`` route need no account key.
+    Routes hold no reference cycles, so the garbage collector does not track them
+    (``gc=False``); a full collection would otherwise visit thousands of them in one
+    step of the event loop.
     """
 
     name: str
@@ -51,14 +52,15 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Return True if a request may run more than once."""
         return self.kind in REPEATABLE_KINDS
 
 
 class ServicePolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """What all backend servers of a service have in common.
+    """Settings shared by all backend servers of a service.
 
-    ``cold_requests_per_second`` is what a cold server bears, summed over all hosts.
+    ``cold_requests_per_second`` is the rate that a cold server can serve, summed over
+    all hosts.
     """
 
     name: str
@@ -68,7 +70,7 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds on what a caller may send, and how slowly."""
+    """Limits on the size of a caller's requests and on how slowly it may send them."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 64 * 1024 * 1024
@@ -77,10 +79,10 @@
 
 
 class HostRoutes(msgspec.Struct):
-    """The routes of one host name by prefix, which grow while a table is built.
+    """The routes of one host name by prefix, mutable while a table is built.
 
-    ``depth`` is the most slashes in a prefix; ``uneven`` are the lengths of prefixes
-    that no slash ends, shortest first.
+    ``depth`` is the largest number of slashes in a prefix; ``uneven`` holds the lengths
+    of prefixes without a trailing slash, in ascending order.
     """
 
     prefixes: dict[str, Route] = {}
@@ -88,20 +90,21 @@
     uneven: list[int] = []
 
     def add(self, route: Route) -> None:
-        """Add a route; of equal prefixes the first one counts."""
+        """Add a route; the first of several routes with the same prefix wins."""
         prefix = route.prefix
         self.prefixes.setdefault(prefix, route)
         self.depth = max(self.depth, prefix.count("/"))
         if not prefix.endswith("/"):
-            place = bisect_left(self.uneven, len(prefix))
-            if self.uneven[place : place + 1] != [len(prefix)]:
-                self.uneven.insert(place, len(prefix))
+            position = bisect_left(self.uneven, len(prefix))
+            if self.uneven[position : position + 1] != [len(prefix)]:
+                self.uneven.insert(position, len(prefix))
 
     def find(self, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path.
+        """Return the route with the longest prefix that matches the path.
 
-        It asks once for each slash of the path down to the deepest prefix, so neither
-        the number of routes counts nor the length of a path.
+        The lookups are one for each slash in the path, up to ``depth``, and one for
+        each length in ``uneven``, so their number depends neither on the number of
+        routes nor on the length of the path.
         """
         found: Route | None = None
         end = 0
@@ -127,15 +130,15 @@
     accounts: AccountTable = msgspec.field(default_factory=AccountTable)
 
     def is_urgent(self, rank: int, service: str) -> bool:
-        """Tell whether no request to a service comes before those of a rank."""
+        """Return True if no route to the service is more urgent than the rank."""
         return rank <= self.urgent_ranks.get(service, rank)
 
 
 class RouteTableBuilder:
-    """Gather one version of the configuration, a part at a time.
+    """Build the table of one configuration version incrementally.
 
-    Each call costs in proportion to what it adds and no more, so that a large version
-    can be spread over many steps of an event loop.
+    The cost of each call is proportional to what it adds, so that building a large
+    table can be spread over many steps of an event loop.
     """
 
     def __init__(self, version: int, limits: CallerLimits) -> None:
@@ -147,22 +150,25 @@
         self.accounts = AccountTable()
 
     def add_account(self, account: Account, keys: Iterable[str]) -> None:
-        """Add a client account with its keys; raise ValueError that names no key."""
+        """Add a client account with its keys.
+
+        Raise ValueError for an invalid account; its text contains none of the keys.
+        """
         self.accounts.add(account, keys)
 
     def add_route(self, host: str, route: Route) -> None:
-        """Add a route of a host name, whatever the case of the name's letters."""
+        """Add a route of a host name, which is not case-sensitive."""
         self.hosts.setdefault(host.lower(), HostRoutes()).add(route)
         for destination in route.destinations:
-            known = self.urgent_ranks.get(destination.service, route.rank)
-            self.urgent_ranks[destination.service] = min(known, route.rank)
+            lowest_rank = self.urgent_ranks.get(destination.service, route.rank)
+            self.urgent_ranks[destination.service] = min(lowest_rank, route.rank)
 
     def add_service(self, policy: ServicePolicy) -> None:
-        """Add what is known of a service."""
+        """Add the policy of a service."""
         self.services[policy.name] = policy
 
     def table(self) -> RouteTable:
-        """Return what was gathered; nothing may be added after that."""
+        """Return the finished table; nothing may be added afterwards."""
         return RouteTable(
             version=self.version,
             hosts=self.hosts,
@@ -179,7 +185,7 @@
     services: list[ServicePolicy],
     limits: CallerLimits,
 ) -> RouteTable:
-    """Return the table of all routes at once."""
+    """Build a table from all its routes and services in one call."""
     builder = RouteTableBuilder(version, limits)
     for host, routes in hosts.items():
         for route in routes:
@@ -190,12 +196,15 @@
 
 
 def find_route(table: RouteTable, host: str, path: str) -> Route | None:
-    """Return the route with the longest prefix that begins the path."""
-    rows = table.hosts.get(host_name(host).lower())
-    return rows.find(path) if rows is not None else None
+    """Return the route of the host with the longest prefix that matches the path.
+
+    Return None if the host or the path has no route.
+    """
+    host_routes = table.hosts.get(host_name(host).lower())
+    return host_routes.find(path) if host_routes is not None else None
 
 
 def host_name(host: str) -> str:
-    """Return the name in a Host header, which may be followed by a port."""
+    """Return the name in a Host header, without its port."""
     name, colon, port = host.rpartition(":")
     return name if colon and port.isdigit() else host
--- a/packages/core/tests/test_routing_match.py
+++ b/packages/core/tests/test_routing_match.py
@@ -53,7 +53,7 @@
         ("", "/pay/1", None),
     ],
 )
-def test_the_longest_prefix_of_the_host_wins(host, path, name):
+def test_find_route_returns_the_longest_prefix_of_the_host(host, path, name):
     found = find_route(TABLE, host, path)
     assert (found.name if found else None) == name
 
@@ -64,20 +64,20 @@
     lambda parts: "".join(f"/{part}" for part in parts) + "/"
 )
 
-# The platform's prefixes end with a slash; the others hold for any caller of the table.
+# The platform's prefixes end with a slash, but the table accepts any prefix.
 PREFIXES = st.one_of(PATHS, PATHS.map(lambda path: path[:-1]), PATHS.map("{}a".format))
 
 
-def scanned(rows, host, path):
-    """Return the name of the first route with the longest prefix, by scanning all."""
+def scan_for_route(rows, host, path):
+    """Return the name of the first route with the longest prefix, by a linear scan."""
     name, _, port = host.partition(":")
-    fitting = [
+    matches = [
         row
-        for known, row in rows
-        if known.lower() == (name if port in ("", "80") else host).lower()
+        for route_host, row in rows
+        if route_host.lower() == (name if port in ("", "80") else host).lower()
         and path.startswith(row.prefix)
     ]
-    return max(fitting, key=lambda row: len(row.prefix)).name if fitting else None
+    return max(matches, key=lambda row: len(row.prefix)).name if matches else None
 
 
 @given(
@@ -87,26 +87,26 @@
 )
 def test_a_look_up_finds_what_a_scan_of_all_routes_finds(rows, host, path):
     routes = [
-        (known, route(f"r-{index}", prefix))
-        for index, (known, prefix) in enumerate(rows)
+        (route_host, route(f"r-{index}", prefix))
+        for index, (route_host, prefix) in enumerate(rows)
     ]
     builder = RouteTableBuilder(1, CallerLimits())
-    for known, row in routes:
-        builder.add_route(known, row)
+    for route_host, row in routes:
+        builder.add_route(route_host, row)
     found = find_route(builder.table(), host, path)
-    assert (found.name if found else None) == scanned(routes, host, path)
+    assert (found.name if found else None) == scan_for_route(routes, host, path)
 
 
-def test_a_prefix_that_no_slash_ends_begins_paths_all_the_same():
+def test_a_prefix_without_a_trailing_slash_matches_longer_segments():
     table = create_route_table(
         1, {"a.example": [route("pay", "/pay")]}, [], CallerLimits()
     )
     assert find_route(table, "a.example", "/payments").name == "pay"
 
 
-def test_host_names_that_differ_in_case_only_both_count():
-    # Operators write one listener for a.example and one for A.example. The latter took
-    # the former's place, and callers of the former's paths were told of no such route.
+def test_routes_of_host_names_that_differ_only_in_case_are_merged():
+    # A configuration has one listener for a.example and one for A.Example. If the
+    # second replaces the first, callers of the first one's paths get "no such route".
     rows = {
         "a.example": [route("pay", "/pay/"), route("first", "/")],
         "A.Example": [route("bays", "/bays/"), route("second", "/")],
@@ -125,7 +125,7 @@
         (RequestKind.UNSAFE, False),
     ],
 )
-def test_the_kind_says_what_may_be_repeated(kind, repeatable):
+def test_only_safe_requests_and_downloads_are_repeatable(kind, repeatable):
     assert (
         Route(name="r", prefix="/", destinations=(), kind=kind).repeatable is repeatable
     )
@@ -135,21 +135,21 @@
     weights=st.lists(st.integers(1, 90), min_size=1, max_size=4),
     requests=st.integers(1, 300),
 )
-def test_each_part_of_a_split_is_within_one_request_of_its_weight(weights, requests):
-    parts = [Destination(f"s{index}", weight) for index, weight in enumerate(weights)]
-    split, row = WeightedSplit(), route("r", "/", *parts)
+def test_each_share_of_a_split_is_close_to_its_weight(weights, requests):
+    shares = [Destination(f"s{index}", weight) for index, weight in enumerate(weights)]
+    split, row = WeightedSplit(), route("r", "/", *shares)
     chosen = [split.choose(row) for _ in range(requests)]
-    for part in parts:
-        fair = requests * part.weight / sum(weights)
-        assert abs(chosen.count(part.service) - fair) <= len(parts)
+    for share in shares:
+        expected = requests * share.weight / sum(weights)
+        assert abs(chosen.count(share.service) - expected) <= len(shares)
 
 
-def test_a_changed_split_begins_anew_and_gone_routes_are_forgotten():
+def test_changed_weights_get_new_state_and_removed_routes_are_dropped():
     split = WeightedSplit()
     split.choose(route("r", "/", Destination("a", 1), Destination("b", 9)))
     split.choose(route("r", "/", Destination("a", 9), Destination("b", 1)))
     assert len(split.credits) == 2
-    split.keep({"other"})
+    split.retain({"other"})
     assert not split.credits
 
 
@@ -162,7 +162,7 @@
         ("look", "unknown", True),
     ],
 )
-def test_the_first_rank_among_the_routes_to_a_service_is_urgent(name, service, urgent):
+def test_only_the_lowest_rank_of_a_service_is_urgent(name, service, urgent):
     pay = route("pay", "/pay/", Destination("booking"))
     look = route("look", "/look/", Destination("booking"), Destination("records"))
     routes = [
