--- a/packages/platform_tests/tests/test_platform_accounts.py
+++ b/packages/platform_tests/tests/test_platform_accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts on real daemons: keys that are taken away, and limits."""
+"""Client accounts on real daemons: revoked keys and rate limits."""
 
 import asyncio
 import contextlib
@@ -14,14 +14,14 @@
 ROOT = Path(__file__).parents[3]
 KEY, OTHER_KEY = "k3yofone4567890abcde", "0therk3yofone4567890"
 REVOKE_SECONDS = 3.0
-# A host's heartbeat of certainty: a watch, a report and a way between them.
-CERTAIN_SECONDS = 8.0
+# Covers a store watch, a report to peers and the network delay between them.
+FRESHNESS_SECONDS = 8.0
 RATE, BURST = 20, 20
 WINDOW_SECONDS = 5.0
 
 
 def configure(fleet, *keys, **limits):
-    """Put a configuration with one account that holds these keys."""
+    """Store a configuration with one account that holds these keys."""
     fleet.version += 3
     rule = {
         "name": "r",
@@ -42,7 +42,7 @@
 
 @contextlib.asynccontextmanager
 async def async_accounts(folder, *keys, strangers=False, **limits):
-    """Run daemons that keep keys strictly, with one account in force."""
+    """Run daemons with strict key revocation and one active account."""
     async with async_fleet(ROOT, folder, strangers=strangers) as fleet:
         for node in fleet.nodes:
             node.document["bounds"] |= {
@@ -74,11 +74,11 @@
 
 
 async def async_serves(fleet, node, key):
-    """Tell whether a host serves a key."""
+    """Return True if a host serves requests with a key."""
     return await async_status(fleet, node, key) == 200
 
 
-def runs(fleet):
+def count_executions(fleet):
     return sum(len(backend.ran) for backend in fleet.backends)
 
 
@@ -86,51 +86,51 @@
     node.process.send_signal(signal.SIGSTOP)
 
 
-async def async_thaw(fleet, node):
+async def async_resume(fleet, node):
     node.process.send_signal(signal.SIGCONT)
 
 
-async def async_lose_store(fleet, node):
+async def async_fail_store(fleet, node):
     fleet.store.control.status = 503
 
 
-async def async_nothing(fleet, node):
+async def async_do_nothing(fleet, node):
     return None
 
 
 @pytest.mark.parametrize(
-    ("async_break", "async_mend", "strangers"),
+    ("async_inject_fault", "async_clear_fault", "strangers"),
     [
-        (async_nothing, async_nothing, False),
-        (async_freeze, async_thaw, False),
-        (async_lose_store, async_nothing, False),
-        (async_lose_store, async_nothing, True),
+        (async_do_nothing, async_do_nothing, False),
+        (async_freeze, async_resume, False),
+        (async_fail_store, async_do_nothing, False),
+        (async_fail_store, async_do_nothing, True),
     ],
-    ids=["all well", "a host frozen", "the store away", "a host cut off"],
+    ids=["no fault", "a host frozen", "the store unavailable", "a host isolated"],
 )
-async def test_a_key_that_is_taken_away_runs_nowhere_after_the_bound(
-    tmp_path, async_break, async_mend, strangers
+async def test_no_request_with_a_revoked_key_runs_after_the_bound(
+    tmp_path, async_inject_fault, async_clear_fault, strangers
 ):
-    """Guards against a key that lives on where its removal is not heard of."""
+    """Guards against a host that still accepts a key because it missed its removal."""
     async with (
         async_accounts(tmp_path, KEY, OTHER_KEY, strangers=strangers) as fleet,
         aiohttp.ClientSession() as session,
     ):
         node = fleet.nodes[0]
         assert await async_status(fleet, node, KEY, session) == 200
-        await async_break(fleet, node)
+        await async_inject_fault(fleet, node)
         configure(fleet, OTHER_KEY)
         await asyncio.sleep(REVOKE_SECONDS)
-        ran = runs(fleet)
-        await async_mend(fleet, node)
-        # The first of these goes over the connection that was open before.
+        executions = count_executions(fleet)
+        await async_clear_fault(fleet, node)
+        # The first request uses the connection that was opened before the removal.
         statuses = [await async_status(fleet, row, KEY, session) for row in fleet.nodes]
         assert set(statuses) <= {401, 503}
-        assert runs(fleet) == ran
+        assert count_executions(fleet) == executions
 
 
-async def test_keys_are_served_again_once_the_store_is_back(tmp_path):
-    """Guards against hosts that go on refusing keys after an outage."""
+async def test_keys_are_served_again_after_the_store_recovers(tmp_path):
+    """Guards against hosts that still reject keys after a store outage."""
     async with async_accounts(tmp_path, KEY) as fleet:
         fleet.store.control.status = 503
         await asyncio.sleep(REVOKE_SECONDS + 0.5)
@@ -138,12 +138,12 @@
         fleet.store.control.status = 0
         for node in fleet.nodes:
             await fleet.async_until(
-                lambda node=node: async_serves(fleet, node, KEY), CERTAIN_SECONDS
+                lambda node=node: async_serves(fleet, node, KEY), FRESHNESS_SECONDS
             )
 
 
 async def async_flood(fleet, seconds):
-    """Ask three times the limit of all hosts for a while; return when each one ran."""
+    """Send three times the limit to all hosts; return when each served one finished."""
     ends_at = time.monotonic() + seconds
     ran_at = []
 
@@ -160,14 +160,14 @@
     return ran_at
 
 
-def most_in_a_window(ran_at):
+def max_per_window(ran_at):
     return max(
         sum(begin <= at < begin + WINDOW_SECONDS for at in ran_at) for begin in ran_at
     )
 
 
-async def test_an_account_keeps_to_its_limit_over_all_hosts_and_their_restart(tmp_path):
-    """Guards against hosts that each keep a limit, or forget what was used."""
+async def test_an_accounts_limit_holds_over_all_hosts_and_their_restart(tmp_path):
+    """Guards against limits per host, and against usage that a restart forgets."""
     limits = {"ratePerS": RATE, "burst": BURST}
     async with async_accounts(tmp_path, KEY, **limits) as fleet:
         ran_at = await async_flood(fleet, 4.0)
@@ -175,5 +175,5 @@
             await node.async_kill()
         await asyncio.gather(*(node.async_start() for node in fleet.nodes))
         ran_at += await async_flood(fleet, 6.0)
-        assert most_in_a_window(ran_at) <= (RATE * WINDOW_SECONDS + BURST) * 1.1 + 20
+        assert max_per_window(ran_at) <= (RATE * WINDOW_SECONDS + BURST) * 1.1 + 20
         assert len(ran_at) >= 0.5 * RATE * 8
--- a/packages/platform_tests/tests/test_platform_boundary.py
+++ b/packages/platform_tests/tests/test_platform_boundary.py
@@ -1,4 +1,4 @@
-"""Nothing outside the adapter knows the platform, and the adapter decides nothing."""
+"""Only the adapter depends on the platform, and it contains no decision logic."""
 
 import ast
 import re
@@ -14,7 +14,11 @@
     r"|coldLeftS|trafficSplit|pathPrefix|allowedRegions|op/config|/api/resolve",
     re.IGNORECASE,
 )
-DECIDING = ("greengagepoint.placing", "greengagepoint.overload", "greengagepoint.caps")
+DECISION_PACKAGES = (
+    "greengagepoint.placing",
+    "greengagepoint.overload",
+    "greengagepoint.caps",
+)
 
 
 def product_sources():
@@ -24,34 +28,36 @@
                 yield path
 
 
-def imports_of(path):
-    found = set()
+def imported_modules(path):
+    modules = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
-            found |= {alias.name for alias in node.names}
+            modules |= {alias.name for alias in node.names}
         elif isinstance(node, ast.ImportFrom) and node.module:
-            found.add(node.module)
-    return found
+            modules.add(node.module)
+    return modules
 
 
-def test_the_product_knows_none_of_the_platforms_words():
-    known = {
+def test_the_product_contains_no_platform_names():
+    matches = {
         f"{path.name}: {match.group()}"
         for path in product_sources()
         for match in PLATFORM_WORDS.finditer(path.read_text())
     }
-    assert not known
+    assert not matches
 
 
 def test_the_product_does_not_import_the_adapter():
     for path in product_sources():
-        roots = {name.split(".")[0] for name in imports_of(path)}
-        assert "greengagepoint_platform" not in roots, path
+        packages = {name.split(".")[0] for name in imported_modules(path)}
+        assert "greengagepoint_platform" not in packages, path
 
 
 @pytest.mark.parametrize("path", sorted(ADAPTER.glob("*.py")), ids=lambda row: row.name)
-def test_the_adapter_imports_nothing_that_decides(path):
-    assert not [name for name in imports_of(path) if name.startswith(DECIDING)]
+def test_the_adapter_imports_no_decision_logic(path):
+    assert not [
+        name for name in imported_modules(path) if name.startswith(DECISION_PACKAGES)
+    ]
 
 
 def test_the_adapter_stays_small():
--- a/packages/platform_tests/tests/test_platform_daemons.py
+++ b/packages/platform_tests/tests/test_platform_daemons.py
@@ -1,4 +1,4 @@
-"""Three real daemons, started by the deploy file's own command, on the stand-ins."""
+"""Three real daemons, started with the deploy file's command, on the stand-ins."""
 
 import asyncio
 import signal
@@ -17,31 +17,31 @@
         yield running
 
 
-async def test_the_whole_path(fleet):
+async def test_routing_from_look_up_to_evacuation(fleet):
     n1, n2, n3 = fleet.nodes
 
-    # All hosts bring a key to the same server.
-    found = [await fleet.async_call(node, "/bays/", "17") for node in (n1, n2, n3)]
-    assert {status for status, _, _ in found} == {200}
-    assert len({server for _, server, _ in found}) == 1
+    # All hosts route an affinity key to the same server.
+    routed = [await fleet.async_call(node, "/bays/", "17") for node in (n1, n2, n3)]
+    assert {status for status, _, _ in routed} == {200}
+    assert len({server for _, server, _ in routed}) == 1
 
-    # Look-ups name the hosts of the caller's region.
-    async def async_both_named():
-        named = await fleet.async_named(n3, "north")
-        return sorted(named) == sorted([n1.listen["front"], n2.listen["front"]])
+    # Look-ups return the hosts of the caller's region.
+    async def async_returns_both():
+        addresses = await fleet.async_named(n3, "north")
+        return sorted(addresses) == sorted([n1.listen["front"], n2.listen["front"]])
 
-    await fleet.async_until(async_both_named)
+    await fleet.async_until(async_returns_both)
 
-    # A new configuration is in force everywhere within two seconds.
+    # A new configuration is active on all hosts within two seconds.
     fleet.configure("/bays/", "/pay/")
 
-    async def async_in_force():
+    async def async_is_active():
         answers = [await fleet.async_call(node, "/pay/") for node in fleet.nodes]
         return {status for status, _, _ in answers} == {200}
 
-    await fleet.async_until(async_in_force, 2.0)
+    await fleet.async_until(async_is_active, 2.0)
 
-    # A leaving server gets nothing new, and an evacuated zone neither.
+    # Draining servers and servers in an evacuated zone get no new requests.
     fleet.enter(fleet.backends[0], "z-a", "draining")
     await asyncio.sleep(1.0)
     before = len(fleet.backends[0].received)
@@ -56,26 +56,26 @@
 
 
 async def test_a_configuration_of_many_routes(fleet):
-    # Hosts read it in steps, and a bad one after it leaves it in force.
+    # Hosts decode it in steps, and an invalid one after it does not replace it.
     prefixes = [f"/many-{number}/" for number in range(1_000)]
     fleet.configure("/bays/", *prefixes)
 
-    async def async_answered(path):
+    async def async_is_served(path):
         answers = [await fleet.async_call(node, path) for node in fleet.nodes]
         return {status for status, _, _ in answers} == {200}
 
-    await fleet.async_until(lambda: async_answered(prefixes[-1]))
+    await fleet.async_until(lambda: async_is_served(prefixes[-1]))
     fleet.put("op/config", {"version": "r999", "listeners": prefixes, "clusters": []})
 
-    async def async_refused():
+    async def async_is_refused():
         return all("record_refused" in node.events() for node in fleet.nodes)
 
-    await fleet.async_until(async_refused)
-    assert await async_answered(prefixes[0])
+    await fleet.async_until(async_is_refused)
+    assert await async_is_served(prefixes[0])
 
 
 async def async_answers(fleet, keys=24):
-    """Ask all hosts for many keys; return the status and the server of each answer."""
+    """Send requests for many keys to all hosts; return each one's status and server."""
     calls = [
         fleet.async_call(node, "/bays/", str(key))
         for node in fleet.nodes
@@ -85,34 +85,34 @@
 
 
 @pytest.mark.parametrize("same_address", [True, False])
-async def test_a_server_that_starts_again_under_its_id(fleet, same_address):
-    # A server of the first zone is drained, exits, and starts again under its id, at
-    # its address or at another one. Callers of all hosts are served the whole time, and
-    # by the newer run once its entry is there. A late write of the older run, which
-    # would drain it again, is told to all and changes nothing.
+async def test_a_server_that_restarts_with_its_instance_id(fleet, same_address):
+    # A server of the first zone drains, exits, and restarts with the same id, at the
+    # same address or another one. All hosts serve requests throughout, and use the new
+    # incarnation as soon as its entry exists. A late write of the old incarnation,
+    # which would drain the server again, reaches all hosts and has no effect.
     born = 1_765_000_000_000
     older = fleet.backends[0]
     fleet.enter(older, "z-a", born=born)
     assert {status for status, _ in await async_answers(fleet)} == {200}
     fleet.enter(older, "z-a", "draining", born=born)
 
-    async def async_left():
+    async def async_is_unused():
         answers = await async_answers(fleet)
         assert {status for status, _ in answers} == {200}
         return "i-0" not in {server for _, server in answers}
 
-    await fleet.async_until(async_left, 5.0)
+    await fleet.async_until(async_is_unused, 5.0)
     newer = await older.async_start_again(same_address=same_address)
     await older.async_crash()
     fleet.backends.append(newer)
     fleet.enter(newer, "z-a", born=born + 9_000)
 
-    async def async_back():
+    async def async_is_used():
         answers = await async_answers(fleet)
         assert {status for status, _ in answers} == {200}
         return len(newer.ran) > 0
 
-    await fleet.async_until(async_back, 5.0)
+    await fleet.async_until(async_is_used, 5.0)
     fleet.enter(older, "z-a", "draining", born=born)
     await fleet.async_until(fleet.async_all_know, 5.0)
     before = len(newer.ran)
@@ -121,9 +121,9 @@
     assert len(newer.ran) > before
 
 
-async def test_entries_of_another_writer(fleet):
-    # Another writer puts entries that name no server: one in place of a server's own,
-    # others at keys of their own. No caller notices; each host logs and counts them.
+async def test_invalid_entries_of_another_writer(fleet):
+    # Another writer puts invalid server entries: one replaces a server's own, others
+    # use new keys. No request fails; each host logs and counts the entries.
     n1 = fleet.nodes[0]
     fleet.enter(fleet.backends[0], "z-a", "new")
     fleet.enter(fleet.backends[0], "z-a", service="mystery")
@@ -131,13 +131,13 @@
     fleet.put("servers/", {})
     fleet.put("servers/a/b", {})
 
-    async def async_told():
+    async def async_has_logged():
         lines = [row for row in n1.lines if row["name"] == "record_refused"]
         return {"servers/i-9", "servers/", "servers/a/b", "servers/i-0"} <= {
             row["key"] for row in lines
         }
 
-    await fleet.async_until(async_told, 5.0)
+    await fleet.async_until(async_has_logged, 5.0)
     await fleet.async_until(fleet.async_all_know, 5.0)
     answers = await async_answers(fleet)
     assert {status for status, _ in answers} == {200}
@@ -147,13 +147,13 @@
     assert 'greengagepoint_store_items_refused_total{reason="key"} 2' in text
     fleet.enter(fleet.backends[0], "z-a")
 
-    async def async_back():
+    async def async_is_used():
         return "i-0" in {server for _, server in await async_answers(fleet)}
 
-    await fleet.async_until(async_back, 5.0)
+    await fleet.async_until(async_is_used, 5.0)
 
 
-async def test_metrics_are_served_where_the_environment_says(fleet):
+async def test_metrics_are_served_at_the_address_in_the_environment(fleet):
     n1 = fleet.nodes[0]
     assert (await fleet.async_call(n1, "/bays/", "17"))[0] == 200
     async with fleet.session.get(f"http://{n1.metrics}/metrics") as answer:
@@ -164,8 +164,8 @@
 
 
 async def test_a_host_that_starts_while_the_store_is_down(fleet):
-    # The store is down when a host is replaced. It gets the configuration and the
-    # servers from its peers and serves; a 404 would send its callers away for good.
+    # A host restarts while the store is down. It gets the configuration and the servers
+    # from its peers and serves requests; callers do not retry after a 404.
     n1 = fleet.nodes[0]
     await n1.async_kill()
     fleet.store.control.status = 503
@@ -177,8 +177,8 @@
 
 
 async def test_a_planned_stop_and_a_reload(fleet):
-    # A caller's request is in flight when its host is told to stop. It is answered
-    # whole, the host vanishes from look-ups, and the process ends by itself.
+    # A host receives SIGTERM while a request is in flight. The request is answered in
+    # full, look-ups no longer return the host, and the process exits by itself.
     n1, n2, _ = fleet.nodes
     n1.path.write_bytes(b"{not json")
     n1.process.send_signal(signal.SIGHUP)
@@ -196,10 +196,10 @@
     n1.process.send_signal(signal.SIGTERM)
     assert (await call)[0] == 200
 
-    async def async_gone():
+    async def async_is_removed():
         return n1.listen["front"] not in await fleet.async_named(n2, "north")
 
-    await fleet.async_until(async_gone, 3.0)
+    await fleet.async_until(async_is_removed, 3.0)
     assert await asyncio.wait_for(n1.process.wait(), 4.0) == 0
     await n1.reading
     names = n1.events()
--- a/packages/platform_tests/tests/test_platform_decoding.py
+++ b/packages/platform_tests/tests/test_platform_decoding.py
@@ -48,7 +48,7 @@
     return StoredItem(key, msgspec.json.encode(document), 7)
 
 
-def test_a_configuration_becomes_routes():
+def test_a_configuration_is_decoded_to_routes():
     table = decode_item(item("op/config", CONFIGURATION)).table
     assert table.version == 12
     route = find_route(table, "a.example", "/bays/2f")
@@ -64,13 +64,13 @@
     assert table.limits.body_bytes == 9
 
 
-def test_a_rule_that_does_not_say_its_kind_runs_once():
+def test_a_rule_without_a_kind_is_not_repeatable():
     table = decode_item(item("op/config", CONFIGURATION)).table
     assert not find_route(table, "a.example", "/pay/").repeatable
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "message"),
     [
         ({"version": 5}, "version"),
         ({"version": "new"}, "new"),
@@ -78,8 +78,8 @@
         ({"listeners": [{"host": "a", "rules": [{"name": "r"}]}]}, "match"),
     ],
 )
-def test_a_configuration_that_can_not_be_read_names_the_field(change, said):
-    with pytest.raises(RecordError, match=said) as caught:
+def test_an_invalid_configuration_names_the_field(change, message):
+    with pytest.raises(RecordError, match=message) as caught:
         decode_item(item("op/config", {**CONFIGURATION, **change}))
     assert caught.value.field == "op/config"
 
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "message"),
     [
         ({"apiKeys": ["secret-3"]}, "one and two hold the same key"),
         ({"name": "two"}, "two accounts are called two"),
@@ -125,14 +125,14 @@
         ({"ratePerS": "secret-1"}, r"tenants\[0\]"),
     ],
 )
-def test_accounts_that_can_not_be_served_are_refused_and_no_key_is_named(change, said):
+def test_invalid_accounts_are_refused_without_exposing_a_key(change, message):
     rows = [{**ACCOUNTS[0], **change}, *ACCOUNTS[1:]]
-    with pytest.raises(RecordError, match=said) as caught:
+    with pytest.raises(RecordError, match=message) as caught:
         decode_item(item("op/config", {**CONFIGURATION, "tenants": rows}))
     assert "secret" not in caught.value.detail
 
 
-def test_a_part_of_a_configuration_is_one_account_however_many_there_are():
+def test_each_account_is_decoded_in_a_step_of_its_own():
     rows = [{"name": f"a-{number}"} for number in range(500)]
     stored = item("op/config", {**CONFIGURATION, "tenants": rows})
     *before, _ = read_in_parts(stored)
@@ -140,7 +140,7 @@
 
 
 def rules(*changes):
-    """Return a configuration of three rules, some of them changed."""
+    """Return a configuration of three rules with changes by index."""
     rows = [
         {
             "name": f"r-{index}",
@@ -154,20 +154,20 @@
     return {**CONFIGURATION, "listeners": [{"host": "a.example", "rules": rows}]}
 
 
-def test_parts_give_what_the_whole_gives():
+def test_decoding_in_steps_gives_the_same_configuration():
     stored = item("op/config", CONFIGURATION)
     *before, last = read_in_parts(stored)
     assert last == decode_item(stored)
-    # The document, two rules and a cluster.
+    # One step each for the document, two rules and a cluster.
     assert before == [None] * 4
 
 
-def test_only_a_configuration_has_parts():
+def test_only_a_configuration_is_decoded_in_steps():
     assert read_in_parts(item("servers/i-1", CONFIGURATION)) is None
 
 
 @pytest.mark.parametrize(
-    ("document", "said", "parts"),
+    ("document", "message", "steps"),
     [
         (rules((2, {"match": {}})), r"pathPrefix.*listeners\[0\]\.rules\[2\]", 3),
         (rules((1, {"kind": "odd"})), r"odd.*listeners\[0\]\.rules\[1\]", 2),
@@ -176,23 +176,24 @@
         ({**CONFIGURATION, "version": 5}, "version", 0),
     ],
 )
-def test_a_part_that_can_not_be_read_is_named(document, said, parts):
-    reading = read_in_parts(item("op/config", document))
-    for _ in range(parts):
-        assert next(reading) is None
-    with pytest.raises(RecordError, match=said) as caught:
-        next(reading)
+def test_an_invalid_part_of_a_configuration_is_named(document, message, steps):
+    decoding = read_in_parts(item("op/config", document))
+    for _ in range(steps):
+        assert next(decoding) is None
+    with pytest.raises(RecordError, match=message) as caught:
+        next(decoding)
     assert caught.value.field == "op/config"
 
 
 def test_a_configuration_nested_too_deep_is_refused():
-    # Its error is none of the decoder's own, and ended the task that follows the store.
+    # The decoder raises RecursionError, not an error of msgspec. If it is not handled,
+    # it ends the task that follows the store.
     value = b'{"new":' + b"[" * 100_000 + b"]" * 100_000 + b"}"
     with pytest.raises(RecordError, match="recursion"):
         decode_item(StoredItem("op/config", value, 1))
 
 
-def test_host_names_that_differ_in_case_only_are_one():
+def test_listeners_whose_host_names_differ_only_in_case_are_merged():
     listeners = [
         {"host": host, "rules": [{**rule, "match": {"pathPrefix": f"/{host}/"}}]}
         for host, rule in zip(
@@ -205,7 +206,7 @@
 
 
 @pytest.mark.parametrize(("state", "leaving"), [("ready", False), ("draining", True)])
-def test_only_a_ready_server_gets_requests(state, leaving):
+def test_a_draining_server_is_leaving(state, leaving):
     entry = decode_item(
         item(
             "servers/i-1",
@@ -226,7 +227,7 @@
     assert entry.born == 1_765_000_000_123
 
 
-def test_other_keys():
+def test_evacuation_and_host_keys_are_decoded_and_unknown_keys_ignored():
     assert decode_item(item("op/evacuate/z-1", {})) == Evacuation("z-1")
     assert decode_item(item("other/1", {})) is None
     host = HostEntry("h", "north", "z", "10.0.0.1:1", "10.0.0.1:2")
@@ -266,24 +267,24 @@
     ("limits", "link_mbps"),
     [({"linkMbps": 5.0, "cpus": 1}, 5.0), ({"linkMbps": None}, 0.0), ({}, 0.0)],
 )
-def test_the_link_of_a_host_is_read_where_it_is_told(tmp_path, limits, link_mbps):
+def test_the_link_rate_is_optional_in_the_settings(tmp_path, limits, link_mbps):
     path = tmp_path / "local.json"
     path.write_bytes(msgspec.json.encode({**SETTINGS, "limits": limits}))
     assert daemon_settings(read_settings_file(path)).link_mbps == link_mbps
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "message"),
     [
         ({"zone": None}, r"\$\.zone"),
         ({"listen": {"front": "a:1"}}, "readiness"),
         ({"bounds": {"graceS": "6"}}, r"\$\.bounds\.graceS"),
     ],
 )
-def test_bad_settings_name_the_field(tmp_path, change, said):
+def test_invalid_settings_name_the_field(tmp_path, change, message):
     path = tmp_path / "local.json"
     path.write_bytes(msgspec.json.encode({**SETTINGS, **change}))
-    with pytest.raises(SettingError, match=said):
+    with pytest.raises(SettingError, match=message):
         read_settings_file(path)
 
 
@@ -296,7 +297,7 @@
 
 
 @pytest.mark.parametrize(
-    ("key", "document", "good"),
+    ("key", "document", "valid"),
     [
         ("quarantine/c", {"content": "c", "seconds": 30, "ends": ENDS}, True),
         ("quarantine/d", {"content": "c", "seconds": 30, "ends": ENDS}, False),
@@ -310,8 +311,8 @@
         ),
     ],
 )
-def test_quarantine_entries_that_another_writer_may_have_put(key, document, good):
-    if not good:
+def test_quarantine_entries_are_validated(key, document, valid):
+    if not valid:
         with pytest.raises(RecordError):
             decode_item(item(key, document))
         return
--- a/packages/platform_tests/tests/test_platform_entries.py
+++ b/packages/platform_tests/tests/test_platform_entries.py
@@ -1,8 +1,9 @@
-"""What other writers' entries do to hosts: nothing beyond their own key.
+"""Invalid server entries affect only their own key.
 
-An entry may lack fields, have them of another type, name what nobody knows, or be bytes
-that can't be read. Its key names no server then, also not the one that it named before:
-whoever wrote it may have taken the place of that one. All other keys hold.
+An entry may lack fields, have fields of a wrong type, refer to an unknown zone or
+service, or not be decodable. Its key then stands for no server, not even the one that
+it stood for before, because another server may have replaced that one. All other keys
+stay valid.
 """
 
 import msgspec
@@ -12,20 +13,20 @@
 from greengagepoint.placing.tables import Incarnation
 
 
-def other_types():
-    """Yield entries of which one field has another type."""
+def entries_with_a_wrong_type():
+    """Yield entries with one field of a wrong type."""
     for name, value in ENTRY.items():
-        others = [None, True, [], {}, [value]]
+        wrong_values = [None, True, [], {}, [value]]
         if not isinstance(value, str):
-            others.append(str(value))
+            wrong_values.append(str(value))
         elif name != "version":
-            others.append(7)
-        for other in others:
-            document = {**ENTRY, name: other}
-            yield pytest.param(document, "field", id=f"{name}={other!r}")
+            wrong_values.append(7)
+        for wrong_value in wrong_values:
+            document = {**ENTRY, name: wrong_value}
+            yield pytest.param(document, "field", id=f"{name}={wrong_value!r}")
 
 
-def missing():
+def entries_without_a_field():
     """Yield entries that lack one field."""
     for name in ENTRY.keys() - {"version", "born"}:
         yield pytest.param(changed(ENTRY, **{name: None}), "field", id=f"no {name}")
@@ -73,9 +74,9 @@
     msgspec.json.encode(ENTRY).replace(b"0.5", b"NaN"),
     msgspec.json.encode(ENTRY).replace(b"0.5", b"Infinity"),
 )
-BAD = [
-    *other_types(),
-    *missing(),
+INVALID_ENTRIES = [
+    *entries_with_a_wrong_type(),
+    *entries_without_a_field(),
     *(
         pytest.param(changed(ENTRY, **{name: value}), reason, id=f"{name}={value!r}")
         for name, value, reason in (
@@ -109,7 +110,7 @@
     ),
     *(pytest.param(raw, None, id=f"bytes {raw[:20]!r}") for raw in BYTES),
 ]
-GOOD = [
+VALID_ENTRIES = [
     ENTRY,
     changed(ENTRY, born=None),
     changed(ENTRY, version=None),
@@ -123,19 +124,19 @@
 ]
 
 
-@pytest.mark.parametrize("document", GOOD)
-def test_a_good_entry_names_a_server(document):
+@pytest.mark.parametrize("document", VALID_ENTRIES)
+def test_a_valid_entry_adds_a_server(document):
     fleet = told()
     fleet.put("servers/i-3", document)
     assert fleet.members() == ["i-1", "i-2", "i-3"]
     assert fleet.refused() == []
 
 
-@pytest.mark.parametrize(("document", "reason"), BAD)
-def test_a_bad_entry_names_no_server_and_all_others_hold(document, reason):
-    # Another writer's entry takes the place of a good one, and one comes at a new key.
-    # Callers of the other server notice nothing. The log and the counter tell of each
-    # once, however often the news comes. A good entry is taken again.
+@pytest.mark.parametrize(("document", "reason"), INVALID_ENTRIES)
+def test_an_invalid_entry_removes_only_its_own_server(document, reason):
+    # An invalid entry replaces a valid one, and another one is put at a new key. The
+    # other server stays usable. Each invalid entry is logged and counted once, however
+    # often the update arrives. A valid entry is accepted again afterwards.
     fleet = told()
     fleet.put("servers/i-1", document)
     assert fleet.members() == ["i-2"]
@@ -156,7 +157,7 @@
     assert fleet.members() == ["i-1", "i-2", "i-3"]
 
 
-def test_a_draining_server_is_good_and_gets_nothing():
+def test_a_draining_server_is_valid_and_gets_no_requests():
     fleet = told()
     fleet.put("servers/i-1", changed(ENTRY, state="draining"))
     assert fleet.members() == ["i-2"]
--- a/packages/platform_tests/tests/test_platform_refused_items.py
+++ b/packages/platform_tests/tests/test_platform_refused_items.py
@@ -1,4 +1,4 @@
-"""What other writers' keys and bytes of any kind do: nothing beyond their own key."""
+"""Arbitrary keys and values of other writers affect only their own key."""
 
 import msgspec
 import pytest
@@ -23,18 +23,19 @@
         "servers/" + "i" * 300,
     ],
 )
-def test_a_key_of_another_shape_names_no_server(key):
-    # A server's id goes into a header of each request to it. With a line break in it
-    # every request that was placed there would fail.
+def test_an_invalid_server_key_adds_no_server(key):
+    # A server's id is sent in a header of each request to it. An id with a line break
+    # would make every request to that server fail.
     fleet = told()
     fleet.put(key, ENTRY)
     assert fleet.members() == ["i-1", "i-2"]
     assert fleet.refused() == [(key[:TEXT_MAX], "key")]
 
 
-def test_an_entry_that_comes_before_the_configuration_that_names_its_service():
-    # Operators add a service; its servers' entries come first. Forgotten, they would
-    # get nothing when the configuration is in force, since they do not change.
+def test_an_entry_that_arrives_before_the_configuration_of_its_service():
+    # Operators add a service, and its servers' entries arrive before the configuration.
+    # If they were dropped, these servers would get no requests under the new
+    # configuration, because their entries do not change again.
     fleet = told()
     fleet.put("servers/i-3", changed(ENTRY, service="lifts"))
     assert fleet.members() == ["i-1", "i-2"]
@@ -57,7 +58,7 @@
     assert fleet.members() == ["i-3"]
 
 
-def test_entries_that_come_before_any_configuration():
+def test_entries_that_arrive_before_any_configuration():
     fleet = Told()
     fleet.put("servers/i-1", ENTRY)
     fleet.put("servers/i-2", changed(ENTRY, service="mystery"))
@@ -81,22 +82,22 @@
         ("hosts/h1", b"", "unreadable"),
     ],
 )
-def test_a_bad_entry_of_a_host_names_none(key, document, reason):
-    # Exchanges with such a host would fail, and take the place of good ones.
+def test_an_invalid_host_entry_adds_no_host(key, document, reason):
+    # Exchanges with such a host would fail and reduce the number of useful ones.
     fleet = told()
     fleet.put("hosts/h1", HOST)
     fleet.put("hosts/h2", changed(HOST, name="h2"))
     assert set(fleet.view.hosts) == {"h1", "h2"}
     fleet.put(key, document)
-    left = {"h2"} if key == "hosts/h1" else {"h1", "h2"}
-    assert set(fleet.view.hosts) == left
+    remaining = {"h2"} if key == "hosts/h1" else {"h1", "h2"}
+    assert set(fleet.view.hosts) == remaining
     assert fleet.refused() == [(key, reason)]
     fleet.put("hosts/h1", HOST)
     assert set(fleet.view.hosts) == {"h1", "h2"}
 
 
 @pytest.mark.parametrize("value", [b"", b"\xff", b"null", b"{}", b'{"zone": "zone-b"}'])
-def test_an_evacuation_holds_whatever_its_value(value):
+def test_an_evacuation_is_applied_whatever_its_value(value):
     fleet = told()
     fleet.put("op/evacuate/zone-a", value)
     assert fleet.members() == []
@@ -105,7 +106,7 @@
 
 
 @pytest.mark.parametrize("zone", ["zone-z", "", "zone-a/x", "zone a", "ZONE-A"])
-def test_an_evacuation_of_no_zone_empties_none(zone):
+def test_an_evacuation_of_an_unknown_zone_is_refused(zone):
     fleet = told()
     fleet.put(f"op/evacuate/{zone}", {})
     fleet.remove(f"op/evacuate/{zone}")
@@ -114,14 +115,14 @@
     assert fleet.refused() == [(f"op/evacuate/{zone}", "zone")]
 
 
-def test_a_zone_of_any_name_that_the_settings_give_can_be_emptied():
+def test_a_zone_in_the_settings_can_be_evacuated_whatever_its_name():
     fleet = told()
     fleet.view.zones["zone ζ/1"] = "north"
     fleet.put("op/evacuate/zone ζ/1", {})
     assert list(fleet.view.evacuated_at) == ["zone ζ/1"]
 
 
-def test_lines_of_a_writer_that_never_ends_are_bounded_and_counts_are_not():
+def test_log_lines_of_refused_items_are_limited_and_counts_are_not():
     fleet = told()
     for number in range(2 * int(LINES_AT_ONCE)):
         fleet.put(f"servers/{number}" + "x" * 999, b"x" * 999)
@@ -137,7 +138,7 @@
     ),
     value=st.binary(max_size=64),
 )
-def test_any_bytes_leave_all_other_keys_as_they_were(key, value):
+def test_arbitrary_bytes_do_not_affect_other_keys(key, value):
     fleet = told()
     fleet.put(key, value)
     assert "i-2" in fleet.members()
@@ -146,7 +147,7 @@
 
 
 @given(value=st.binary(max_size=64))
-def test_any_bytes_leave_the_configuration_in_force(value):
+def test_arbitrary_bytes_do_not_replace_the_configuration(value):
     fleet = told()
     fleet.put("op/config", value)
     assert fleet.view.routes.version == 1
@@ -168,7 +169,7 @@
 
 
 @given(fields=st.dictionaries(st.sampled_from(sorted(ENTRY)), JSON, max_size=3))
-def test_an_entry_of_any_fields_is_good_as_a_whole_or_names_nothing(fields):
+def test_an_entry_with_arbitrary_fields_is_accepted_or_refused_as_a_whole(fields):
     fleet = told()
     fleet.put("servers/i-1", {**ENTRY, **fields})
     assert "i-2" in fleet.members()
@@ -184,7 +185,7 @@
 
 
 @given(value=JSON)
-def test_any_document_leaves_all_other_keys_as_they_were(value):
+def test_an_arbitrary_document_does_not_affect_other_keys(value):
     fleet = told()
     fleet.put("servers/i-1", msgspec.json.encode(value))
     assert fleet.members() == ["i-2"]
--- a/packages/platform_tests/tests/test_platform_store.py
+++ b/packages/platform_tests/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The client of the store against the stand-in, in calm and in every kind of outage."""
+"""The store client against the stand-in, in normal operation and during outages."""
 
 import asyncio
 import base64
@@ -70,7 +70,7 @@
     ("part", "key"),
     [(Part.SERVERS, "servers/i-1"), (Part.EVACUATIONS, "op/evacuate/zone-a")],
 )
-async def test_a_part_is_watched_without_what_lies_before_it(part, key):
+async def test_a_watch_of_a_part_returns_only_changes_of_that_part(part, key):
     async with async_client() as (client, store):
         put(store, "op/config", "large")
         put(store, "servers/i-1", "draining")
@@ -81,12 +81,12 @@
         assert not (await client.async_changes(3, 0.0, part)).changes
 
 
-async def test_a_watch_without_changes_ends_by_itself():
+async def test_a_watch_without_changes_returns_after_its_wait():
     async with async_client() as (client, _):
         assert (await client.async_changes(0, 0.1)).changes == ()
 
 
-async def test_lost_history_is_told():
+async def test_a_watch_from_a_compacted_revision_raises_history_lost():
     async with async_client() as (client, store):
         put(store, "a", "1")
         store.items.compact()
@@ -109,14 +109,14 @@
 
 
 @pytest.mark.parametrize("status", [503, 429, 500])
-async def test_a_store_that_turns_calls_away_is_an_error(status):
+async def test_an_error_status_of_the_store_raises_store_error(status):
     async with async_client() as (client, store):
         store.control.status = status
         with pytest.raises(StoreError, match=str(status)):
             await client.async_snapshot()
 
 
-async def test_a_write_whose_answer_is_lost_may_have_been_done():
+async def test_a_write_whose_answer_is_lost_has_an_unknown_outcome():
     async with async_client() as (client, store):
         store.control.lost_writes = True
         with pytest.raises(StoreOutcomeUnknownError):
@@ -124,7 +124,7 @@
         assert store.items.leases
 
 
-async def test_a_silent_store_is_given_up(monkeypatch):
+async def test_a_call_to_a_store_that_does_not_answer_times_out(monkeypatch):
     monkeypatch.setattr(module, "CALL_SECONDS", 0.1)
     async with async_client() as (client, store):
         store.control.hangs = True
@@ -132,10 +132,11 @@
             await client.async_snapshot()
 
 
-async def test_a_large_value_over_a_slow_link_is_read_to_its_end():
-    # The store answers at once with a large value, and the host's link carries 5
-    # Mbit/s. The answer comes without a pause, but takes longer than a call may last:
-    # given up and begun again, it never came, and the host took the store for lost.
+async def test_a_large_value_is_read_completely_over_a_slow_link():
+    # The store starts to send a large value at once, over a host's link of 5 Mbit/s.
+    # The answer arrives without a pause but takes longer than the call timeout. If that
+    # limited the whole answer, each attempt would time out, and the host would treat
+    # the store as unavailable.
     store = PlatformStore()
     await store.async_start()
     relay = Relay(store.address, back=SlowLink(SLOW_BYTES_PER_SECOND))
@@ -154,10 +155,10 @@
         await store.async_stop()
 
 
-async def test_a_snapshot_is_as_old_as_the_first_of_its_pages():
-    # The store is slow, and the second page begins late. A configuration on the first
-    # one may have been replaced meanwhile: taken for fresh, it would be passed on to
-    # the whole region as the newest.
+async def test_the_age_of_a_snapshot_is_counted_from_its_first_page():
+    # The store is slow, and its second page starts late. A configuration on the first
+    # page may have been replaced by then; counted as fresh, it would be sent to the
+    # whole region as the newest.
     async with async_client() as (client, store):
         for number in range(600):
             put(store, f"servers/i-{number}", str(number))
