--- a/packages/node/greengagepoint_node/http/__init__.py
+++ b/packages/node/greengagepoint_node/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP towards callers and operators."""
+"""The HTTP interfaces for callers and operators."""
--- a/packages/node/greengagepoint_node/http/const.py
+++ b/packages/node/greengagepoint_node/http/const.py
@@ -18,7 +18,7 @@
 KEY_MAX_LENGTH: Final = 255
 DEADLINE_MAX_MS: Final = 3_600_000
 
-# RFC 9110, section 7.6.1: these belong to one connection and are never forwarded.
+# RFC 9110, section 7.6.1: these apply to a single connection and are not forwarded.
 HOP_BY_HOP_HEADERS: Final = frozenset(
     {
         "connection",
--- a/packages/node/greengagepoint_node/http/health.py
+++ b/packages/node/greengagepoint_node/http/health.py
@@ -1,4 +1,4 @@
-"""Health, readiness and metrics."""
+"""Routes for health, readiness and metrics."""
 
 from collections.abc import Callable
 from typing import Final, NamedTuple
@@ -12,7 +12,7 @@
 
 
 class HealthSources(NamedTuple):
-    """Where health is read from."""
+    """Functions that provide the state and metrics of the daemon."""
 
     is_ready: Callable[[], bool]
     state: Callable[[], str]
@@ -20,7 +20,7 @@
 
 
 def create_health_routes(sources: HealthSources) -> list[OperatorRoute]:
-    """Return the routes that need no key."""
+    """Return the routes for health, readiness and metrics, which require no key."""
 
     async def async_health(request: web.BaseRequest) -> web.StreamResponse:
         return json_response({"state": sources.state()})
--- a/packages/node/greengagepoint_node/http/lookups.py
+++ b/packages/node/greengagepoint_node/http/lookups.py
@@ -1,4 +1,4 @@
-"""Look-ups: which entry hosts a caller should use."""
+"""The look-up route, which returns the entry hosts that a caller should use."""
 
 from collections.abc import Callable
 
@@ -13,16 +13,16 @@
 def create_lookup_handler(answer: LookupAnswer) -> Handler:
     """Return the handler of ``GET /v1/hosts``.
 
-    ``answer`` maps (service, caller address) to the JSON bytes of the answer, or None
-    for a service that no record names.
+    ``answer`` maps a service and a caller address to the JSON body of the answer, or
+    to None if there is no record of the service.
     """
 
     async def async_lookup(request: web.BaseRequest) -> web.StreamResponse:
-        """Answer with an ordered, weighted list of entry hosts."""
+        """Respond with an ordered, weighted list of entry hosts."""
         query = request.rel_url.query
         service = query.get("service")
         if not service:
-            raise RequestError("The query must name a service")
+            raise RequestError("The query parameter 'service' is required")
         body = answer(service, query.get("address") or request.remote or "")
         if body is None:
             raise RequestError(
--- a/packages/node/greengagepoint_node/http/operators.py
+++ b/packages/node/greengagepoint_node/http/operators.py
@@ -1,4 +1,4 @@
-"""The operators' interface: records, history, status, time line and usage."""
+"""The operators' interface: records, history, status, timeline and usage."""
 
 import hmac
 import re
@@ -20,7 +20,7 @@
     WantedChanges,
 )
 from greengagepoint_node.http.problems import json_response
-from greengagepoint_node.http.reading import async_read_whole
+from greengagepoint_node.http.reading import async_read_body_bytes
 from greengagepoint_node.http.server import Handler
 
 AUTHORIZATION_SCHEME: Final = "Bearer "
@@ -28,32 +28,32 @@
 APPLY_BODY_SECONDS: Final = 10.0
 HISTORY_DEFAULT: Final = 50
 HISTORY_MAX: Final = 1000
-LIMIT: Final = re.compile("[0-9]{1,9}")
+LIMIT_PATTERN: Final = re.compile("[0-9]{1,9}")
 
 
 class OperatorBackend(Protocol):
-    """What the operators' interface needs from the daemon."""
+    """The daemon's functions that the operators' interface uses."""
 
     def records(self) -> RecordsAnswer:
         """Return the generation and all documents."""
 
     async def async_apply(self, wanted: WantedChanges) -> ApplyAnswer:
-        """Apply changes; return the generation that holds them."""
+        """Apply changes; return the generation that contains them."""
 
     async def async_history(self, limit: int) -> HistoryAnswer:
         """Return the newest entries of the change log."""
 
     def status(self) -> StatusAnswer:
-        """Return the state of this host and what it knows of others."""
+        """Return the state of this host and its view of its peers."""
 
     def timeline(self, filters: dict[str, str]) -> TimelineAnswer:
         """Return this host's events that match the filters."""
 
     async def async_prune_usage(self, before: str) -> PruneAnswer:
-        """Delete usage of days before a day; return how many counters went."""
+        """Delete the usage of days before a day; return the number of counters."""
 
     async def async_usage(self, since: str | None, until: str | None) -> UsageAnswer:
-        """Return usage by team from day to day, both included."""
+        """Return the usage of each team from ``since`` to ``until``, both inclusive."""
 
 
 class OperatorRoute(NamedTuple):
@@ -69,15 +69,15 @@
 ) -> list[OperatorRoute]:
     """Return the routes of the operators' interface.
 
-    Every one of them needs the shared key, when there is one.
+    If there is a shared key, every route requires it.
     """
 
     async def async_records(request: web.BaseRequest) -> web.StreamResponse:
         return json_response(backend.records())
 
     async def async_apply(request: web.BaseRequest) -> web.StreamResponse:
-        wanted = await async_read_changes(request)
-        return json_response(await backend.async_apply(wanted))
+        changes = await async_read_changes(request)
+        return json_response(await backend.async_apply(changes))
 
     async def async_history(request: web.BaseRequest) -> web.StreamResponse:
         limit = parse_limit(request.rel_url.query.get("limit"))
@@ -97,7 +97,7 @@
     async def async_prune_usage(request: web.BaseRequest) -> web.StreamResponse:
         before = parse_day(request.rel_url.query.get("before"))
         if before is None:
-            raise RequestError("before must name a day")
+            raise RequestError("before is required, as YYYY-MM-DD")
         return json_response(await backend.async_prune_usage(before))
 
     routes = [
@@ -116,19 +116,19 @@
 
 
 def require_key(handler: Handler, key: str | None) -> Handler:
-    """Return a handler that answers only those who know the shared key."""
+    """Wrap a handler to reject requests without the shared key."""
     if key is None:
         return handler
     expected = (AUTHORIZATION_SCHEME + key).encode()
 
     async def async_checked(request: web.BaseRequest) -> web.StreamResponse:
-        # A value that is not UTF-8 is a wrong key like any other.
+        # A value that is not valid UTF-8 is treated as a wrong key.
         given = request.headers.get("Authorization", "").encode(
             errors="surrogateescape"
         )
         if not hmac.compare_digest(given, expected):
             raise RequestError(
-                "The operators' interface needs its shared key",
+                "The operators' interface requires the shared key",
                 ErrorKind.UNAUTHENTICATED,
             )
         return await handler(request)
@@ -137,32 +137,34 @@
 
 
 async def async_read_changes(request: web.BaseRequest) -> WantedChanges:
-    """Read the body of an apply request."""
-    body = await async_read_whole(request, APPLY_BODY_MAX_BYTES, APPLY_BODY_SECONDS)
+    """Read the changes in the body of an apply request."""
+    body = await async_read_body_bytes(
+        request, APPLY_BODY_MAX_BYTES, APPLY_BODY_SECONDS
+    )
     try:
         return msgspec.json.decode(body, type=WantedChanges)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise RequestError(
-            f"The body cannot be read: {error}", ErrorKind.RECORD_MALFORMED
+            f"The body is not valid: {error}", ErrorKind.RECORD_MALFORMED
         ) from error
 
 
 def parse_day(text: str | None) -> str | None:
-    """Return a day as YYYY-MM-DD."""
+    """Return a day as YYYY-MM-DD, or None; raise RequestError for an invalid one."""
     if text is None:
         return None
     try:
         return date.fromisoformat(text).isoformat()
     except ValueError:
         raise RequestError(
-            f"{text[:50]!r} is not a day; accepted: as 2026-12-02"
+            f"{text[:50]!r} is not a day in the format YYYY-MM-DD"
         ) from None
 
 
 def parse_limit(text: str | None) -> int:
-    """Return how many entries are wanted."""
+    """Return the requested number of entries, at most ``HISTORY_MAX``."""
     if text is None:
         return HISTORY_DEFAULT
-    if not LIMIT.fullmatch(text):
+    if not LIMIT_PATTERN.fullmatch(text):
         raise RequestError("limit must be a whole number of at most 9 digits")
     return min(int(text), HISTORY_MAX)
--- a/packages/node/greengagepoint_node/http/problems.py
+++ b/packages/node/greengagepoint_node/http/problems.py
@@ -1,4 +1,4 @@
-"""Problem answers (RFC 9457) made from the closed list of error kinds."""
+"""Problem documents (RFC 9457) for the errors of the product."""
 
 from typing import Any
 
@@ -18,7 +18,7 @@
 
 
 def problem_document(error: GreengagepointError, request_id: str) -> dict[str, Any]:
-    """Return the members of the problem answer for an error."""
+    """Return the members of the problem document for an error."""
     document: dict[str, Any] = {
         "type": f"{PROBLEM_TYPE_PREFIX}{error.kind}",
         "title": error.answer.title,
@@ -38,7 +38,7 @@
 
 
 def problem_response(error: GreengagepointError, request_id: str = "") -> web.Response:
-    """Return the answer for an error, with Retry-After where waiting helps."""
+    """Return the response for an error, with Retry-After if a retry may help."""
     headers = {HEADER_RAN: str(error.ran)}
     if request_id:
         headers[HEADER_REQUEST_ID] = request_id
@@ -53,7 +53,7 @@
 
 
 def json_response(document: object, status: int = 200) -> web.Response:
-    """Return a JSON answer."""
+    """Return a response with a JSON body."""
     return web.Response(
         status=status, body=encode_json(document), content_type="application/json"
     )
--- a/packages/node/greengagepoint_node/http/server.py
+++ b/packages/node/greengagepoint_node/http/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server: connections, dispatch by path, and errors as problem answers."""
+"""The HTTP server: connections, dispatch by path, and errors as problem documents."""
 
 import asyncio
 import functools
@@ -26,15 +26,17 @@
 KEEPALIVE_SECONDS: Final = 75.0
 LINGERING_SECONDS: Final = 2.0
 SHUTDOWN_SECONDS: Final = 1.0
-# So many connections above the limit are kept until a request can be refused on them.
-REFUSED_CONNECTIONS_MAX: Final = 256
-# Of bodies that a handler reads whole; operators' records are well below it. All items
-# of the store in one message of a peer are 1.25 MB with 5,000 servers of 250 bytes.
-WHOLE_BODY_BYTES_MAX: Final = 8 * 1024 * 1024
+# Connections above the limit that stay open until a request on them is rejected; any
+# more are closed at once.
+EXCESS_CONNECTIONS_MAX: Final = 256
+# The limit for bodies that a handler reads into memory. Operators' records are far
+# smaller; a peer's message with all items of the store has 1.25 MB at 5,000 servers of
+# 250 bytes each.
+BUFFERED_BODY_BYTES_MAX: Final = 8 * 1024 * 1024
 
 
 class ServerLimits(NamedTuple):
-    """Bounds on what a caller may send."""
+    """Limits on headers, connections and the wait for the first request."""
 
     header_bytes: int
     headers: int
@@ -43,14 +45,14 @@
 
 
 class Routes(NamedTuple):
-    """Handlers by exact path, and the one for everything under ``/s/``."""
+    """Handlers by method and exact path, and the one for all paths under ``/s/``."""
 
     exact: dict[tuple[str, str], Handler]
     service: Handler
 
 
 class ProblemRequestHandler(web.RequestHandler):
-    """One connection, which answers unreadable requests with problems."""
+    """One connection; answers malformed requests with problem documents."""
 
     events: EventSink
     first_request_timer: asyncio.TimerHandle | None = None
@@ -59,31 +61,31 @@
     server: "ProblemServer"
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count the connection, and close it unless a request comes soon."""
+        """Count the connection and start the timer for its first request."""
         super().connection_made(transport)
         self.server.open_connections += 1
         excess = self.server.open_connections - self.limits.connections
         self.is_excess = excess > 0
-        if excess > REFUSED_CONNECTIONS_MAX:
-            # Without an end to them, connections would take all descriptors, and the
-            # host could reach neither the store nor backend servers any more.
+        if excess > EXCESS_CONNECTIONS_MAX:
+            # An unlimited number of connections would use up all file descriptors, and
+            # the host could no longer connect to the store or to backend servers.
             transport.abort()
             return
-        # A caller that sends its first headers byte by byte would hold a connection
-        # for ever; later requests are bounded by the keep-alive timeout.
+        # Without this timer, a caller that sends its first headers byte by byte could
+        # hold a connection forever; the keep-alive timeout limits later requests.
         self.first_request_timer = asyncio.get_running_loop().call_later(
             self.limits.first_request_seconds, self.close_if_idle
         )
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Stop waiting for the first request, and make room for another caller."""
+        """Cancel the timer for the first request and uncount the connection."""
         self.server.open_connections -= 1
         if self.first_request_timer is not None:
             self.first_request_timer.cancel()
         super().connection_lost(exc)
 
     def close_if_idle(self) -> None:
-        """Close the connection because no whole request came in time."""
+        """Close the connection; its first request did not arrive in time."""
         if self.transport is None:
             return
         self.events.record(
@@ -98,10 +100,10 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Answer a request that could not be read, or a handler's failure."""
+        """Respond to a malformed request or an unhandled error of a handler."""
         if request.writer.output_size > 0:
-            raise ConnectionError("The answer has begun; it can only be broken off")
-        error = _unreadable(status, exc)
+            raise ConnectionError("The response has started; no error can be sent")
+        error = _error_for_status(status, exc)
         event = (
             Event.INTERNAL_ERROR
             if error.kind is ErrorKind.INTERNAL
@@ -114,7 +116,7 @@
 
 
 class ProblemServer(web.Server):
-    """Make a ``ProblemRequestHandler`` for each connection."""
+    """Create a ``ProblemRequestHandler`` for each connection."""
 
     def __init__(
         self,
@@ -143,7 +145,7 @@
         )
 
     def __call__(self) -> web.RequestHandler:
-        """Return the protocol of a new connection."""
+        """Return the protocol for a new connection."""
         connection = self.make_connection()
         connection.events = self.events
         connection.limits = self.limits
@@ -158,10 +160,11 @@
     writer: AbstractStreamWriter,
     task: asyncio.Task[None],
 ) -> web.BaseRequest:
-    """Return a request whose body may be larger than the library's 1 MB.
+    """Return a request whose body may be larger than aiohttp's default of 1 MB.
 
-    A host that was cut off is sent all that it lacks in one message; were that refused,
-    it would be refused again each time and hear nothing more of its peers.
+    After a network partition, a host gets all items that it lacks in one message. If
+    that was rejected for its size, every retry would be too, and the host would get no
+    more updates from its peers.
     """
     return web.BaseRequest(
         message,
@@ -170,27 +173,27 @@
         writer,
         task,
         asyncio.get_running_loop(),
-        client_max_size=WHOLE_BODY_BYTES_MAX,
+        client_max_size=BUFFERED_BODY_BYTES_MAX,
     )
 
 
 class ProblemServerRunner(web.ServerRunner):
-    """Run a ``ProblemServer`` with the usual start and stop of aiohttp."""
+    """Run a ``ProblemServer`` with aiohttp's start and shutdown."""
 
     def __init__(self, server: ProblemServer) -> None:
         super().__init__(server, shutdown_timeout=SHUTDOWN_SECONDS)
 
 
 def create_dispatcher(routes: Routes) -> Handler:
-    """Return the handler that finds the route of a request."""
+    """Return the handler that dispatches each request to its route."""
 
     async def async_dispatch(request: web.BaseRequest) -> web.StreamResponse:
-        """Hand the request to its route."""
+        """Call the handler for the request's path and method."""
         stop_first_request_timer(request)
         path = request.rel_url.raw_path
         if path.startswith(SERVICE_PREFIX):
             if request.protocol.is_excess:
-                return _refuse_excess(request)
+                return _reject_excess(request)
             return await routes.service(request)
         try:
             handler = routes.exact.get((request.method, path))
@@ -198,7 +201,7 @@
                 raise _no_route(routes, path)
             return await handler(request)
         except RecordError as error:
-            # The configuration records the event of a refused record itself.
+            # The event of a refused record is recorded by the configuration.
             return problem_response(error)
         except GreengagepointError as error:
             request.protocol.events.record(
@@ -209,11 +212,11 @@
     return async_dispatch
 
 
-def _refuse_excess(request: web.BaseRequest) -> web.Response:
-    """Refuse a request on a connection above the limit, and close it.
+def _reject_excess(request: web.BaseRequest) -> web.Response:
+    """Reject a request on a connection above the limit, and close the connection.
 
-    A connection closed without an answer would leave its caller in doubt whether the
-    request ran. Operators and probes of health are answered all the same.
+    If the connection was closed without a response, the caller could not know whether
+    the request ran. Operators and health probes are still served.
     """
     error = RequestError("Too many connections are open", ErrorKind.OVERLOADED)
     request.protocol.events.record(
@@ -225,7 +228,7 @@
 
 
 def stop_first_request_timer(request: web.BaseRequest) -> None:
-    """Leave the connection to the keep-alive timeout once a request has come."""
+    """Cancel the timer for the first request, since a request has arrived."""
     connection = request.protocol
     if connection.first_request_timer is not None:
         connection.first_request_timer.cancel()
@@ -233,15 +236,15 @@
 
 
 def _no_route(routes: Routes, path: str) -> RequestError:
-    """Return the error for a path or method that nothing serves."""
-    methods = sorted(method for method, known in routes.exact if known == path)
+    """Return the error for a path or method without a route."""
+    methods = sorted(method for method, served in routes.exact if served == path)
     if methods:
         return RequestError(f"{path} accepts only {', '.join(methods)}")
-    return RequestError(f"Nothing is served at {path[:100]}")
+    return RequestError(f"There is no route for {path[:100]}")
 
 
-def _unreadable(status: int, exc: BaseException | None) -> GreengagepointError:
-    """Return the typed error for what the HTTP library could not accept."""
+def _error_for_status(status: int, exc: BaseException | None) -> GreengagepointError:
+    """Convert an error of the HTTP library to one of the product's errors."""
     if status >= 500:
         return GreengagepointError("An unexpected error was caught")
     text = str(exc or "")
--- a/packages/node/tests/test_daemon_path.py
+++ b/packages/node/tests/test_daemon_path.py
@@ -1,4 +1,4 @@
-"""The whole path: daemons, stand-ins and real sockets in one loop."""
+"""Requests end to end: daemons and stand-ins on real sockets in one event loop."""
 
 import asyncio
 import hashlib
@@ -26,11 +26,11 @@
         yield deployment
 
 
-def runs_of_key(deployment: Deployment, key: str) -> int:
-    return sum(one.log.by_key[key] for one in deployment.backends.values())
+def count_executions(deployment: Deployment, key: str) -> int:
+    return sum(stand_in.log.by_key[key] for stand_in in deployment.backends.values())
 
 
-async def test_a_read_is_answered_by_each_host(two_hosts) -> None:
+async def test_each_host_answers_a_safe_request(two_hosts) -> None:
     for daemon in two_hosts.daemons.values():
         headers = {"Greengagepoint-Request-Id": f"id-{daemon.identity.name}"}
         answer = await two_hosts.async_request(
@@ -41,30 +41,30 @@
         assert answer.headers["Greengagepoint-Host"] == daemon.identity.name
 
 
-async def test_a_lookup_names_all_hosts(two_hosts) -> None:
+async def test_a_lookup_returns_all_hosts(two_hosts) -> None:
     daemon = next(iter(two_hosts.daemons.values()))
     answer = await two_hosts.async_request(daemon, "/v1/hosts?service=booking")
     document = await answer.json()
     assert {host["name"] for host in document["hosts"]} == set(two_hosts.daemons)
 
 
-async def test_a_large_answer_arrives_whole(two_hosts) -> None:
+async def test_a_large_answer_is_forwarded_unchanged(two_hosts) -> None:
     daemon = next(iter(two_hosts.daemons.values()))
     answer = await two_hosts.async_request(daemon, "/s/booking/archive/may")
     body = await answer.read()
     assert len(body) == PACK_BYTES
     digest = hashlib.sha256(body).digest().hex()
     direct = f"http://{next(iter(two_hosts.backends.values())).address}/archive/may"
-    async with two_hosts.session.get(direct) as whole:
-        assert hashlib.sha256(await whole.read()).digest().hex() == digest
+    async with two_hosts.session.get(direct) as original:
+        assert hashlib.sha256(await original.read()).digest().hex() == digest
 
 
-async def test_the_same_key_runs_once_and_gets_the_same_answer(two_hosts) -> None:
-    """A driver's phone sends a reservation, loses the answer and sends it again.
+async def test_requests_with_the_same_key_run_once(two_hosts) -> None:
+    """A caller sends a request with an idempotency key and repeats it.
 
-    The first goes through one host, is claimed in the store and runs. The second on
-    the same host gets the kept answer; one through another host is told that the key
-    is taken. In no case does the reservation run twice.
+    The first request claims the key in the store and runs. A repeat on the same host
+    gets the stored answer; a repeat on another host is rejected because the key is in
+    use. The request never runs twice.
     """
     first, second = two_hosts.daemons.values()
     post = {"method": "POST", "data": b"bay 7", "headers": {"Idempotency-Key": "k1"}}
@@ -76,14 +76,14 @@
     assert answers[1].headers["Greengagepoint-Key"] == "replayed"
     assert await answers[0].read() == await answers[1].read()
     assert (await answers[2].json())["kind"] == "key_in_use"
-    assert runs_of_key(two_hosts, "k1") == 1
+    assert count_executions(two_hosts, "k1") == 1
 
 
-async def test_a_shed_reservation_runs_elsewhere_once(two_hosts) -> None:
-    """A backend server sheds a payment before running it, and says so.
+async def test_a_shed_request_runs_once_on_another_server(two_hosts) -> None:
+    """A backend server sheds a request before running it, and reports that.
 
-    The host sends it to another server, because "not run" is certain; the driver
-    sees one answer and the reservation has run once.
+    Since the request is known not to have run, the host sends it to another server.
+    The caller gets one answer, and the request has run once.
     """
     for backend in two_hosts.backends.values():
         if backend.server.name == "attiki-0":
@@ -98,14 +98,14 @@
             headers={"Idempotency-Key": key},
         )
         assert answer.status == 200
-        assert runs_of_key(two_hosts, key) == 1
+        assert count_executions(two_hosts, key) == 1
 
 
-async def test_a_reservation_reset_after_its_run_is_not_sent_again(two_hosts) -> None:
-    """A backend server runs a payment and its connection breaks before the answer.
+async def test_a_request_that_is_reset_after_it_ran_is_not_retried(two_hosts) -> None:
+    """A backend server runs a request, and its connection breaks before the answer.
 
-    Nobody can tell whether it ran, so the host does not send it again: the driver is
-    told "unknown", and a repeat with the same key is refused instead of run.
+    The host can't determine whether the request ran, so it doesn't retry it: the caller
+    gets "unknown", and a repeat with the same key is rejected instead of run.
     """
     for backend in two_hosts.backends.values():
         backend.control.next_reset_after_run = 1
@@ -115,10 +115,10 @@
     assert (answer.status, (await answer.json())["ran"]) == (502, "unknown")
     again = await two_hosts.async_request(daemon, "/s/booking/reservations", **post)
     assert again.status == 409
-    assert runs_of_key(two_hosts, "k2") == 1
+    assert count_executions(two_hosts, "k2") == 1
 
 
-async def test_usage_is_charged_to_the_team(two_hosts) -> None:
+async def test_usage_is_counted_for_the_team(two_hosts) -> None:
     daemon = two_hosts.daemons["attiki-host-0"]
     for _ in range(3):
         await two_hosts.async_request(daemon, "/s/booking/bays")
@@ -127,11 +127,12 @@
     assert UsageOutcome.ANSWERED in str(rows)
 
 
-async def test_a_planned_stop_cuts_nothing_off(two_hosts) -> None:
-    """An operator stops a host while a driver's look-up is still running on it.
+async def test_a_planned_stop_completes_requests_in_flight(two_hosts) -> None:
+    """An operator stops a host while a request is in flight on it.
 
-    The host leaves look-ups at once, finishes the request, waits until cached answers
-    that name it have run out, and only then closes. The driver sees a whole answer.
+    Look-ups stop returning the host at once. The host completes the request, waits
+    until cached look-ups that contain it have expired, and only then closes. The
+    caller gets a complete answer.
     """
     first, second = two_hosts.daemons.values()
     for backend in two_hosts.backends.values():
@@ -149,15 +150,16 @@
     assert first.state == "stopped"
 
 
-async def test_a_drained_host_leaves_lookups_and_comes_back(two_hosts) -> None:
-    """An operator drains a host by a record and later deletes it.
+async def test_lookups_omit_a_host_while_it_is_drained(two_hosts) -> None:
+    """An operator drains a host with a record and later deletes the record.
 
-    Other hosts stop naming it as soon as the record is in force, without a word from
-    the host itself, which still serves who comes. Without the record it is named.
+    Look-ups on other hosts omit the host as soon as the record is applied, without a
+    message from the host itself, which still serves the requests that it gets. After
+    the record is deleted, look-ups return the host again.
     """
     first, second = two_hosts.daemons.values()
 
-    async def async_named() -> set[str]:
+    async def async_lookup_hosts() -> set[str]:
         answer = await two_hosts.async_request(second, "/v1/hosts?service=booking")
         return {host["name"] for host in (await answer.json())["hosts"]}
 
@@ -168,14 +170,14 @@
     }
     await two_hosts.async_apply([document("drain", "leave", **fields)])
     await async_until(lambda: "leave" in second.config.configuration.drains)
-    assert await async_named() == {second.identity.name}
+    assert await async_lookup_hosts() == {second.identity.name}
     assert (await two_hosts.async_request(first, "/s/booking/bays")).status == 200
     await two_hosts.async_apply([{"kind": "drain", "name": "leave", "document": None}])
     await async_until(lambda: not second.config.configuration.drains)
-    assert first.identity.name in await async_named()
+    assert first.identity.name in await async_lookup_hosts()
 
 
-async def test_usage_of_old_days_is_deleted_and_days_are_checked(two_hosts) -> None:
+async def test_pruning_usage_deletes_old_days_and_validates_the_day(two_hosts) -> None:
     daemon = two_hosts.daemons["attiki-host-0"]
     await two_hosts.async_request(daemon, "/s/booking/bays")
     assert await daemon.usage.async_write()
--- a/packages/node/tests/test_http_connections.py
+++ b/packages/node/tests/test_http_connections.py
@@ -1,4 +1,4 @@
-"""How many connections of callers a host takes."""
+"""The limit on the number of callers' connections."""
 
 import asyncio
 import json
@@ -8,7 +8,7 @@
 
 from greengagepoint.events import Event
 from greengagepoint_node.http.server import (
-    REFUSED_CONNECTIONS_MAX,
+    EXCESS_CONNECTIONS_MAX,
     ProblemServer,
     ProblemServerRunner,
     Routes,
@@ -18,10 +18,10 @@
 from greengagepoint_standins.timed_network import EventList
 
 LIMIT = 3
-GUARD_SECONDS = 20.0
+TIMEOUT_SECONDS = 20.0
 
 
-class Bench:
+class LoopbackServer:
     """A server on loopback and the connections that a test has opened to it."""
 
     def __init__(self):
@@ -34,11 +34,11 @@
         self.streams.append(stream)
         return stream
 
-    async def async_ask(self, stream, path="/s/booking/bays"):
-        """Return the status and the members of a problem, or None when cut off."""
+    async def async_get(self, stream, path="/s/booking/bays"):
+        """Return the status and the JSON body, or None if the connection is closed."""
         reader, writer = stream
         writer.write(f"GET {path} HTTP/1.1\r\nHost: host\r\n\r\n".encode())
-        async with asyncio.timeout(GUARD_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             try:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode()
             except (asyncio.IncompleteReadError, ConnectionResetError):
@@ -49,53 +49,53 @@
 
 
 @pytest.fixture
-async def bench():
+async def loopback():
     async def async_answer(request):
         return web.Response(body=b"{}")
 
-    bench = Bench()
-    limits = ServerLimits(8192, 50, GUARD_SECONDS, LIMIT)
+    loopback = LoopbackServer()
+    limits = ServerLimits(8192, 50, TIMEOUT_SECONDS, LIMIT)
     routes = Routes({("GET", "/healthz"): async_answer}, async_answer)
-    server = ProblemServer(create_dispatcher(routes), bench.events, limits)
+    server = ProblemServer(create_dispatcher(routes), loopback.events, limits)
     runner = ProblemServerRunner(server)
     await runner.setup()
     site = web.TCPSite(runner, "127.0.0.1", 0)
     await site.start()
-    bench.port = runner.addresses[0][1]
-    yield bench
-    for _, writer in bench.streams:
+    loopback.port = runner.addresses[0][1]
+    yield loopback
+    for _, writer in loopback.streams:
         writer.close()
     await runner.cleanup()
 
 
-async def test_a_connection_above_the_limit_is_refused_and_not_run(bench):
-    """Callers hold as many connections as the host takes, and one more comes.
+async def test_a_request_on_a_connection_above_the_limit_is_rejected(loopback):
+    """Callers hold the maximum number of connections, and one more is opened.
 
-    Its request is refused at once, overloaded and not run, and its connection closed;
-    those that were there go on, and probes of the process's health are still answered.
-    When one of them leaves, the next caller is served.
+    Its request is rejected at once as overloaded and not run, and the connection is
+    closed. Existing connections and health probes are still served. After one of the
+    connections is closed, the next caller is served.
     """
-    held = [await bench.async_open() for _ in range(LIMIT)]
-    assert [(await bench.async_ask(one))[0] for one in held] == [200] * LIMIT
-    late = await bench.async_open()
-    status, problem = await bench.async_ask(late)
+    held = [await loopback.async_open() for _ in range(LIMIT)]
+    assert [(await loopback.async_get(one))[0] for one in held] == [200] * LIMIT
+    excess = await loopback.async_open()
+    status, problem = await loopback.async_get(excess)
     assert (status, problem["kind"], problem["ran"]) == (503, "overloaded", "not_run")
-    assert await late[0].read() == b""
-    assert bench.events == [Event.REQUEST_REFUSED]
-    probe = await bench.async_open()
-    assert (await bench.async_ask(probe, "/healthz"))[0] == 200
-    assert (await bench.async_ask(held[0]))[0] == 200
+    assert await excess[0].read() == b""
+    assert loopback.events == [Event.REQUEST_REFUSED]
+    probe = await loopback.async_open()
+    assert (await loopback.async_get(probe, "/healthz"))[0] == 200
+    assert (await loopback.async_get(held[0]))[0] == 200
     for reader, writer in (held[0], probe):
         writer.close()
         await reader.read()
-    assert (await bench.async_ask(await bench.async_open()))[0] == 200
+    assert (await loopback.async_get(await loopback.async_open()))[0] == 200
 
 
-async def test_connections_far_above_the_limit_are_cut(bench):
-    """A flood of connections comes that send nothing. Past the limit and the room for
-    refusals each is cut at once, so that they can't take all of the host's descriptors.
+async def test_connections_far_above_the_limit_are_closed_at_once(loopback):
+    """Many connections are opened that send nothing. Beyond the limit and the allowed
+    excess each is closed at once, so that the host keeps free file descriptors.
     """
-    room = LIMIT + REFUSED_CONNECTIONS_MAX
-    for _ in range(room):
-        await bench.async_open()
-    assert await bench.async_ask(await bench.async_open()) is None
+    connections_max = LIMIT + EXCESS_CONNECTIONS_MAX
+    for _ in range(connections_max):
+        await loopback.async_open()
+    assert await loopback.async_get(await loopback.async_open()) is None
--- a/packages/node/tests/test_operator_answers.py
+++ b/packages/node/tests/test_operator_answers.py
@@ -1,4 +1,4 @@
-"""What a real daemon answers operators, against the types that the client needs."""
+"""A real daemon's answers to operators match the types that the client uses."""
 
 import msgspec
 import pytest
@@ -31,7 +31,7 @@
         yield deployment
 
 
-async def test_answers_are_of_the_types_that_the_client_checks(two_hosts) -> None:
+async def test_answers_can_be_decoded_to_the_types_of_the_client(two_hosts) -> None:
     daemon = two_hosts.daemons["attiki-host-0"]
     await two_hosts.async_request(daemon, "/s/booking/bays")
     for path, (answer_type, rows) in ANSWERS.items():
@@ -58,10 +58,10 @@
     assert samples["greengagepoint_store_calls_total", "range", "ok"] >= 1
 
 
-async def test_the_answers_hold_nothing_untyped(two_hosts) -> None:
+async def test_answers_contain_no_fields_unknown_to_their_type(two_hosts) -> None:
     daemon = two_hosts.daemons["attiki-host-0"]
     for path in ("/v1/records", "/v1/history", "/v1/status", "/v1/timeline"):
         answer_type, rows = ANSWERS[path]
         answer = await two_hosts.async_request(daemon, path, headers=HEADERS)
-        untyped = set(await answer.json()) - set(answer_type.__annotations__)
-        assert not untyped, path
+        unknown_fields = set(await answer.json()) - set(answer_type.__annotations__)
+        assert not unknown_fields, path
