--- a/packages/platform_tests/tests/test_platform_accounts.py
+++ b/packages/platform_tests/tests/test_platform_accounts.py
@@ -147,7 +147,7 @@
     ends_at = time.monotonic() + seconds
     ran_at = []
 
-    async def async_ask(node):
+    async def async_send(node):
         with contextlib.suppress(aiohttp.ClientError):
             if await async_status(fleet, node, KEY) == 200:
                 ran_at.append(time.monotonic())
@@ -155,7 +155,7 @@
     async with asyncio.TaskGroup() as group:
         while time.monotonic() < ends_at:
             for node in fleet.nodes:
-                group.create_task(async_ask(node))
+                group.create_task(async_send(node))
             await asyncio.sleep(3 / (3 * RATE))
     return ran_at
 
