--- a/measure/large_configuration.py
+++ b/measure/large_configuration.py
@@ -25,7 +25,7 @@
 from greengagepoint_node.gateway.configuration_loader import ConfigurationLoader
 from greengagepoint_node.gateway.facts import Changes, StoredItem
 from greengagepoint_node.gateway.view import FleetView
-from greengagepoint_platform.configuration import read_in_parts
+from greengagepoint_platform.configuration import decode_in_steps
 from greengagepoint_platform.decoding import decode_item
 from greengagepoint_platform.names import KEY_CONFIGURATION
 from measure.capacity_slopes import Slope
@@ -129,7 +129,7 @@
 
 def view_of(*, in_steps: bool) -> FleetView:
     """Return what a host believes before its first configuration."""
-    loader = ConfigurationLoader(read_in_parts, SystemClock()) if in_steps else None
+    loader = ConfigurationLoader(decode_in_steps, SystemClock()) if in_steps else None
     return FleetView({}, decode_item, Lines(), loader=loader)
 
 
--- a/packages/node/greengagepoint_node/http/reading.py
+++ b/packages/node/greengagepoint_node/http/reading.py
@@ -11,7 +11,7 @@
 CONTINUE: Final = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-async def async_invite_body(request: web.BaseRequest) -> None:
+async def async_send_continue(request: web.BaseRequest) -> None:
     """Send "100 Continue" if the request expects it."""
     expected = request.headers.get(hdrs.EXPECT)
     if expected is None or expected.lower() != CONTINUE_EXPECTED:
@@ -29,7 +29,7 @@
     """Return the body; raise RequestError if it is too large, late or incomplete."""
     if (request.content_length or 0) > max_bytes:
         raise _too_large(max_bytes)
-    await async_invite_body(request)
+    await async_send_continue(request)
     body = bytearray()
     try:
         async with asyncio.timeout(seconds):
--- a/packages/node/greengagepoint_node/proxy/body.py
+++ b/packages/node/greengagepoint_node/proxy/body.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from greengagepoint.errors import ErrorKind, RequestError
-from greengagepoint_node.http.reading import async_invite_body
+from greengagepoint_node.http.reading import async_send_continue
 from greengagepoint_node.proxy.call import Call, body_streams
 
 
@@ -38,7 +38,7 @@
         """Yield the body piece by piece."""
         self.call.streamed = True
         try:
-            await async_invite_body(self.request)
+            await async_send_continue(self.request)
             while piece := await _async_read_piece(self.request, self.limits):
                 self.call.sent_bytes += len(piece)
                 if self.call.sent_bytes > self.limits.max_bytes:
@@ -60,7 +60,7 @@
         raise _too_large(limits)
     if body_streams(request):
         return StreamedBody(request, call, limits)
-    await async_invite_body(request)
+    await async_send_continue(request)
     try:
         async with asyncio.timeout(remaining):
             call.body = await _async_read_pieces(request, limits)
--- a/packages/platform_tests/tests/test_platform_decoding.py
+++ b/packages/platform_tests/tests/test_platform_decoding.py
@@ -4,7 +4,7 @@
 from greengagepoint.errors import RecordError, SettingError
 from greengagepoint.routing.tables import RequestKind, find_route
 from greengagepoint_node.gateway.facts import Evacuation, HostEntry, StoredItem
-from greengagepoint_platform.configuration import read_in_parts
+from greengagepoint_platform.configuration import decode_in_steps
 from greengagepoint_platform.decoding import decode_item, key_of
 from greengagepoint_platform.settings import daemon_settings, read_settings_file
 
@@ -135,7 +135,7 @@
 def test_each_account_is_decoded_in_a_step_of_its_own():
     rows = [{"name": f"a-{number}"} for number in range(500)]
     stored = item("op/config", {**CONFIGURATION, "tenants": rows})
-    *before, _ = read_in_parts(stored)
+    *before, _ = decode_in_steps(stored)
     assert len(before) == 4 + len(rows)
 
 
@@ -156,14 +156,14 @@
 
 def test_decoding_in_steps_gives_the_same_configuration():
     stored = item("op/config", CONFIGURATION)
-    *before, last = read_in_parts(stored)
+    *before, last = decode_in_steps(stored)
     assert last == decode_item(stored)
     # One step each for the document, two rules and a cluster.
     assert before == [None] * 4
 
 
 def test_only_a_configuration_is_decoded_in_steps():
-    assert read_in_parts(item("servers/i-1", CONFIGURATION)) is None
+    assert decode_in_steps(item("servers/i-1", CONFIGURATION)) is None
 
 
 @pytest.mark.parametrize(
@@ -177,7 +177,7 @@
     ],
 )
 def test_an_invalid_part_of_a_configuration_is_named(document, message, steps):
-    decoding = read_in_parts(item("op/config", document))
+    decoding = decode_in_steps(item("op/config", document))
     for _ in range(steps):
         assert next(decoding) is None
     with pytest.raises(RecordError, match=message) as caught:
