--- a/packages/core/greengagepoint/balancing/__init__.py
+++ b/packages/core/greengagepoint/balancing/__init__.py
@@ -1,1 +1,1 @@
-"""Decide which backend server of a site takes a request."""
+"""Choose the backend server of a site for each request."""
--- a/packages/core/greengagepoint/balancing/choice.py
+++ b/packages/core/greengagepoint/balancing/choice.py
@@ -1,12 +1,12 @@
-"""Choose a backend server for one request and count what becomes of it."""
+"""Choose a backend server for a request and record the outcome."""
 
 from typing import Final
 
 from greengagepoint.balancing import shedding
 from greengagepoint.balancing.estimate import (
-    load_of_others,
-    mean_of_others,
-    reported_by_others,
+    load_from_peers,
+    mean_load_from_peers,
+    reported_load_from_peers,
 )
 from greengagepoint.balancing.policies import Policy, choose_by_score
 from greengagepoint.balancing.tables import BackendRow, BackendTable, Outcome, Pool
@@ -14,7 +14,7 @@
 
 LATENCY_WEIGHT: Final = 0.1
 FAILURE_WEIGHT: Final = 0.1
-FAILURES_IN_ROW_MAX: Final = 5
+CONSECUTIVE_FAILURES_MAX: Final = 5
 FAILURE_RATE_MAX: Final = 0.5
 PROBE_SECONDS: Final = 1.0
 FAILURE_OUTCOMES: Final = frozenset({Outcome.FAILED, Outcome.REFUSED})
@@ -30,32 +30,36 @@
     exclude: frozenset[str] = NOTHING_EXCLUDED,
     policy: Policy = choose_by_score,
 ) -> BackendRow | None:
-    """Return the backend server for a request, or None when none may be used.
+    """Return the backend server for a request, or None if none is usable.
 
-    ``exclude`` holds names that this request has already tried. Ejected servers
-    are used only when all others are excluded or full, leaving ones never.
+    ``exclude`` holds the names of servers that this request has already tried.
+    Ejected servers are used only when all others are excluded or full. Leaving
+    servers are never used.
     """
     pool = table.pools.get((service, site))
     if pool is None:
         return None
     usable = [
-        row for row in pool.rows if row.name not in exclude and has_room(row, now)
+        row
+        for row in pool.rows
+        if row.name not in exclude and has_free_connection(row, now)
     ]
     rows = [row for row in usable if row.ejected_until is None] or usable
     if not rows:
         return None
-    alive = [row for row in rows if row.failures_in_row < FAILURES_IN_ROW_MAX]
-    if not alive and not _may_probe(pool, now):
+    healthy = [row for row in rows if row.failures_in_row < CONSECUTIVE_FAILURES_MAX]
+    if not healthy and not _try_start_probe(pool, now):
         return None
-    return policy(alive or rows, pool, now, random)
+    return policy(healthy or rows, pool, now, random)
 
 
-def _may_probe(pool: Pool, now: float) -> bool:
-    """Tell whether a pool whose servers all fail may be tried by one request.
+def _try_start_probe(pool: Pool, now: float) -> bool:
+    """Return True if a request may probe a pool whose servers all fail.
 
-    Only a part of a pool is ejected, so where a whole site is down its requests
-    would still go there, one failure each; without a server they go to the next
-    site at once. One request a second finds out whether the site is back.
+    Only part of a pool can be ejected, so when a whole site is down, each request
+    would still be sent there and fail once. If no server is returned, the request
+    goes to the next site at once. One probe each ``PROBE_SECONDS`` detects that the
+    site has recovered.
     """
     if now - pool.probed_at < PROBE_SECONDS:
         return False
@@ -63,38 +67,38 @@
     return True
 
 
-def has_room(row: BackendRow, now: float) -> bool:
-    """Tell whether a row may get one more request."""
+def has_free_connection(row: BackendRow, now: float) -> bool:
+    """Return True if a server can accept one more request."""
     if row.leaving or row.in_flight >= row.connections:
         return False
-    # The estimate lies between the pool's mean and the report, so while both fit it
-    # need not be worked out for each row of each request.
-    most = max(mean_of_others(row), reported_by_others(row))
-    if row.in_flight + most < row.connections:
+    # The estimate lies between the pool's mean and the report. If both fit, there is
+    # no need to compute it for each server on each request.
+    upper_bound = max(mean_load_from_peers(row), reported_load_from_peers(row))
+    if row.in_flight + upper_bound < row.connections:
         return True
-    return row.in_flight + load_of_others(row, now) < row.connections
+    return row.in_flight + load_from_peers(row, now) < row.connections
 
 
 def started(row: BackendRow, now: float) -> None:
-    """Count a request as in flight; call once before the first byte is sent."""
+    """Record a request as in flight; call once before its first byte is sent."""
     if not row.pool.active:
         row.pool.active = True
-        row.window_from = now
+        row.window_started_at = now
     row.in_flight += 1
     row.started_at = now
-    row.warm = max(row.warm, row.in_flight)
-    row.window_peak = max(row.window_peak, row.in_flight)
-    row.drained_told = False
+    row.warm_connections = max(row.warm_connections, row.in_flight)
+    row.peak_in_flight = max(row.peak_in_flight, row.in_flight)
+    row.drained_event_emitted = False
 
 
 def finished(
     row: BackendRow, outcome: Outcome, latency_seconds: float, now: float
 ) -> None:
-    """Count a request as ended; call once for each ``started``.
+    """Record the outcome of a request; call once for each ``started``.
 
-    ``latency_seconds`` is the time to the first byte of the answer, which a long
-    download doesn't stretch. A cancelled request says nothing of the server, and a
-    shed one only that it is alive.
+    ``latency_seconds`` is the time to the first byte of the answer, so that a long
+    download does not count as latency. A cancelled request is no evidence of the
+    server's health; a shed one only shows that the server responds.
     """
     row.in_flight = max(0, row.in_flight - 1)
     if outcome is Outcome.CANCELLED:
@@ -105,7 +109,7 @@
     row.failures_in_row = 0
     row.failure_rate -= FAILURE_WEIGHT * row.failure_rate
     shed = outcome is Outcome.SHED
-    shedding.note_outcome(row.pool, now, shed=shed)
+    shedding.record_outcome(row.pool, now, shed=shed)
     if shed:
         return
     row.answered += 1
@@ -117,12 +121,12 @@
 
 
 def _count_failure(row: BackendRow) -> None:
-    """Count a failure; its connection is gone with it."""
-    row.warm = max(row.in_flight, row.warm - 1)
+    """Record a failure, which also closes the request's connection."""
+    row.warm_connections = max(row.in_flight, row.warm_connections - 1)
     row.failures_in_row += 1
     row.failure_rate += FAILURE_WEIGHT * (1.0 - row.failure_rate)
     if (
-        row.failures_in_row >= FAILURES_IN_ROW_MAX
+        row.failures_in_row >= CONSECUTIVE_FAILURES_MAX
         or row.failure_rate > FAILURE_RATE_MAX
     ):
         row.ejection_wanted = True
--- a/packages/core/greengagepoint/balancing/listed.py
+++ b/packages/core/greengagepoint/balancing/listed.py
@@ -1,4 +1,4 @@
-"""Follow which backend servers the platform's host list calls leaving."""
+"""Track which backend servers the platform's host list marks as leaving."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
@@ -9,19 +9,20 @@
 from greengagepoint.hosts import HostIdentity
 from greengagepoint.rendezvous import rank
 
-READERS_A_REGION: Final = 2
-READ_SECONDS: Final = 2.0
-# A list of this length read each ``READ_SECONDS`` stays near 5 KB a second; a longer
-# one is read less often, and then a leaving server is noticed later by this way.
+READERS_PER_REGION: Final = 2
+READ_INTERVAL_SECONDS: Final = 2.0
+# Reading a list of this length each ``READ_INTERVAL_SECONDS`` takes about 5 KB/s. A
+# longer list is read less often, so a leaving server in it is detected later.
 SHORT_LIST_ENTRIES: Final = 100
-READ_SECONDS_AN_ENTRY: Final = 0.2
-REPEAT_SECONDS: Final = 10.0
-# Longer than several repeats, so that one lost message does not bring a server back.
-HEARD_SECONDS: Final = 35.0
+READ_INTERVAL_SECONDS_PER_ENTRY: Final = 0.2
+RESEND_INTERVAL_SECONDS: Final = 10.0
+# Several times the resend interval, so that a lost message doesn't make a leaving
+# server available again.
+REPORT_EXPIRY_SECONDS: Final = 35.0
 
 
 class Heard(NamedTuple):
-    """What one reader of the list said, and when; monotonic seconds."""
+    """Leaving names from one reader of the list; ``at`` is in monotonic seconds."""
 
     names: frozenset[str]
     at: float
@@ -29,29 +30,30 @@
 
 @dataclass(slots=True)
 class ListedTable:
-    """What the readers of the host list said, by reader."""
+    """Names that the host list marks as leaving, by the host that read it."""
 
     heard: dict[str, Heard] = field(default_factory=dict)
     read_at: float = float("-inf")
-    told_at: float = float("-inf")
+    sent_at: float = float("-inf")
     entries: int = 0
 
 
 def is_reader(host: HostIdentity, live: Iterable[HostIdentity]) -> bool:
-    """Tell whether a host reads the list for its region.
+    """Return True if a host is one of the readers of the list for its region.
 
-    Two hosts with different views may both read, which only costs reads.
+    Hosts with different views of the live hosts may choose different readers, which
+    only causes additional reads.
     """
-    near = [one for one in live if one.region == host.region]
-    readers = rank("host list", near, lambda one: one.name)[:READERS_A_REGION]
-    return not readers or host.name in {one.name for one in readers}
+    in_region = [peer for peer in live if peer.region == host.region]
+    readers = rank("host list", in_region, lambda peer: peer.name)[:READERS_PER_REGION]
+    return not readers or host.name in {peer.name for peer in readers}
 
 
 def is_read_due(table: ListedTable, now: float) -> bool:
-    """Tell whether the list is to be read again, and count the read as made."""
-    period = READ_SECONDS
+    """Return True if a read of the list is due and record it as made."""
+    period = READ_INTERVAL_SECONDS
     if table.entries > SHORT_LIST_ENTRIES:
-        period = READ_SECONDS_AN_ENTRY * table.entries
+        period = READ_INTERVAL_SECONDS_PER_ENTRY * table.entries
     if now - table.read_at < period:
         return False
     table.read_at = now
@@ -61,21 +63,25 @@
 def note_read(
     table: ListedTable, own_name: str, entries: int, names: frozenset[str], now: float
 ) -> bool:
-    """Take in a read of one's own; tell whether others must hear of it."""
-    before = table.heard.get(own_name)
+    """Record a read of the list; return True if it must be sent to peers."""
+    previous = table.heard.get(own_name)
     table.entries = entries
     table.heard[own_name] = Heard(names, now)
-    changed = before is None or before.names != names
-    if changed or now - table.told_at >= REPEAT_SECONDS:
-        table.told_at = now
+    changed = previous is None or previous.names != names
+    if changed or now - table.sent_at >= RESEND_INTERVAL_SECONDS:
+        table.sent_at = now
         return True
     return False
 
 
 def apply(table: ListedTable, backends: BackendTable, now: float) -> None:
-    """Mark the backend servers that any reader heard lately calls leaving."""
-    old = [name for name, row in table.heard.items() if now - row.at > HEARD_SECONDS]
-    for name in old:
+    """Drop expired reads and mark the servers that any reader lists as leaving."""
+    expired = [
+        name
+        for name, row in table.heard.items()
+        if now - row.at > REPORT_EXPIRY_SECONDS
+    ]
+    for name in expired:
         del table.heard[name]
     names: frozenset[str] = frozenset()
     for row in table.heard.values():
@@ -84,6 +90,6 @@
 
 
 def known_names(backends: BackendTable, leaving: Sequence[str]) -> frozenset[str]:
-    """Return those of the leaving names that are backend servers."""
+    """Return the leaving names that belong to backend servers."""
     servers = {row.name for row in backends.rows.values()}
     return servers.intersection(leaving)
--- a/packages/core/greengagepoint/balancing/messages.py
+++ b/packages/core/greengagepoint/balancing/messages.py
@@ -1,4 +1,4 @@
-"""Messages in which hosts share the load of backend servers."""
+"""Messages that share the load of backend servers between hosts."""
 
 from typing import Final
 
@@ -6,14 +6,14 @@
 
 
 class PoolName(msgspec.Struct, frozen=True, array_like=True):
-    """The backend servers of one service at one site."""
+    """Name of a pool: the backend servers of one service at one site."""
 
     service: str
     site: str
 
 
 class ServerLoad(msgspec.Struct, frozen=True, array_like=True):
-    """One load report as its server made it ``age_ms`` ago."""
+    """Load report that its server made ``age_ms`` ago."""
 
     name: str
     age_ms: int
@@ -34,7 +34,7 @@
 class LoadWanted(
     msgspec.Struct, frozen=True, array_like=True, tag="balancing.load_wanted"
 ):
-    """The sender sends requests to these pools and wants their load."""
+    """Subscription to the load reports of pools that the sender uses."""
 
     pools: tuple[PoolName, ...]
 
@@ -42,7 +42,7 @@
 class LoadReports(
     msgspec.Struct, frozen=True, array_like=True, tag="balancing.load_reports"
 ):
-    """Load reports that the sender has from the servers themselves."""
+    """Load reports that the sender received directly from backend servers."""
 
     pools: tuple[PoolLoad, ...]
 
@@ -50,7 +50,7 @@
 class ListedLeaving(
     msgspec.Struct, frozen=True, array_like=True, tag="balancing.listed_leaving"
 ):
-    """Names that the host list, as the sender has just read it, calls leaving."""
+    """Names marked as leaving in the host list that the sender has just read."""
 
     names: tuple[str, ...]
 
--- a/packages/core/greengagepoint/balancing/policies.py
+++ b/packages/core/greengagepoint/balancing/policies.py
@@ -1,4 +1,4 @@
-"""Policies that pick one backend server out of those that may be used."""
+"""Policies that pick one of the usable backend servers."""
 
 from collections.abc import Callable, Sequence
 from typing import Final, Protocol
@@ -9,18 +9,18 @@
 
 
 class Policy(Protocol):
-    """Pick one of ``rows``, which is never empty."""
+    """Callable that picks one of ``rows``, which is never empty."""
 
     def __call__(
         self, rows: Sequence[BackendRow], pool: Pool, now: float, random: Random
     ) -> BackendRow:
-        """Return the row that gets the request."""
+        """Return the row that receives the request."""
 
 
 def choose_at_random(
     rows: Sequence[BackendRow], pool: Pool, now: float, random: Random
 ) -> BackendRow:
-    """Pick any row with the same chance."""
+    """Pick a row at random, with equal probability."""
     return rows[random.randrange(len(rows))]
 
 
@@ -35,15 +35,15 @@
 def choose_least_in_flight(
     rows: Sequence[BackendRow], pool: Pool, now: float, random: Random
 ) -> BackendRow:
-    """Pick the row with the fewest own requests in flight; ties at random."""
+    """Pick the row with the fewest requests from this host; ties at random."""
     return _lowest(rows, random, _own_in_flight)
 
 
 def choose_of_two(
     rows: Sequence[BackendRow], pool: Pool, now: float, random: Random
 ) -> BackendRow:
-    """Pick the one with fewer own requests in flight of two rows at random."""
-    return _lowest(_two(rows, random), random, _own_in_flight)
+    """Pick two rows at random and return the one with fewer requests from this host."""
+    return _lowest(_pick_two(rows, random), random, _own_in_flight)
 
 
 def choose_by_score(
@@ -56,8 +56,8 @@
 def choose_of_two_by_score(
     rows: Sequence[BackendRow], pool: Pool, now: float, random: Random
 ) -> BackendRow:
-    """Pick the one with the lower score of two rows at random."""
-    return _lowest(_two(rows, random), random, lambda row: score(row, now))
+    """Pick two rows at random and return the one with the lower score."""
+    return _lowest(_pick_two(rows, random), random, lambda row: score(row, now))
 
 
 POLICIES: Final[dict[str, Policy]] = {
@@ -71,11 +71,11 @@
 
 
 def _own_in_flight(row: BackendRow) -> float:
-    """Return this host's own requests in flight."""
+    """Return the requests in flight from this host."""
     return row.in_flight
 
 
-def _two(rows: Sequence[BackendRow], random: Random) -> Sequence[BackendRow]:
+def _pick_two(rows: Sequence[BackendRow], random: Random) -> Sequence[BackendRow]:
     """Return two different rows at random, or the only one."""
     if len(rows) < 2:
         return rows
@@ -87,7 +87,7 @@
 def _lowest(
     rows: Sequence[BackendRow], random: Random, key: Callable[[BackendRow], float]
 ) -> BackendRow:
-    """Return the row with the lowest key, beginning at a random one."""
+    """Return the row with the lowest key; the random start breaks ties."""
     offset = random.randrange(len(rows))
     best = rows[offset]
     best_key = key(best)
--- a/packages/core/greengagepoint/balancing/reports.py
+++ b/packages/core/greengagepoint/balancing/reports.py
@@ -1,11 +1,11 @@
-"""Take in what backend servers say of their load, as far as it can be believed."""
+"""Decode load reports of backend servers, check them and update the rows."""
 
 from statistics import median
 from typing import Final
 
 import msgspec
 
-from greengagepoint.balancing.estimate import reported_by_others
+from greengagepoint.balancing.estimate import reported_load_from_peers
 from greengagepoint.balancing.tables import BackendRow, LeavingSource, Load
 
 LOAD_BYTES_MAX: Final = 512
@@ -14,9 +14,9 @@
 TRUST_GAIN: Final = 0.01
 MEAN_WEIGHT: Final = 0.05
 TRUST_FLOOR: Final = 0.05
-DISTRUST_BELOW: Final = 0.5
+DISTRUST_THRESHOLD: Final = 0.5
 OWN_COUNT_SLACK: Final = 1
-SIGNAL_KEPT_SECONDS: Final = 30.0
+LEAVING_SIGNAL_SECONDS: Final = 30.0
 SLOW_FACTOR: Final = 3.0
 SAMPLES_MIN: Final = 16
 
@@ -24,13 +24,13 @@
 
 
 class InvalidLoadError(ValueError):
-    """Refuse a load report that cannot be decoded or be true."""
+    """Raised when a load report cannot be decoded or is out of range."""
 
 
 def parse_load(text: str | bytes) -> Load:
-    """Decode a load report, from the load endpoint or the answer's header.
+    """Decode a load report from the load endpoint or from an answer's header.
 
-    Raise ``InvalidLoadError`` when it is too long, malformed or impossible.
+    Raise ``InvalidLoadError`` if it is too long, malformed or out of range.
     """
     if len(text) > LOAD_BYTES_MAX:
         raise InvalidLoadError("the load report is too long")
@@ -43,7 +43,7 @@
 
 
 def check_load(load: Load) -> None:
-    """Raise ``InvalidLoadError`` when a load cannot be true."""
+    """Raise ``InvalidLoadError`` if a count is out of range."""
     counts = (load.in_flight, load.slots, load.queued)
     if min(counts) < 0 or max(counts) > LOAD_COUNT_MAX:
         raise InvalidLoadError("the load report has a count out of range")
@@ -55,62 +55,66 @@
     now: float,
     age_seconds: float = 0.0,
     *,
-    own: bool = True,
+    direct: bool = True,
 ) -> None:
-    """Take in a load report that was true ``age_seconds`` ago.
+    """Apply a load report that its server made ``age_seconds`` ago.
 
-    ``own`` tells that the server itself said so to this host. A report older than
-    the row's newest is ignored: shared ones come late and out of order.
+    ``direct`` is True if this host received it from the server itself. A report older
+    than the row's newest is ignored, because reports from peers arrive late and out
+    of order.
     """
     reported_at = now - max(0.0, age_seconds)
     if row.reported is not None and reported_at < row.reported_at:
         return
     row.reported = load
-    row.reported_own = own
+    row.reported_directly = direct
     row.reported_at = reported_at
-    row.own_at_report = row.in_flight
-    if contradicts(row, load):
+    row.own_in_flight_at_report = row.in_flight
+    if contradicts_local_state(row, load):
         row.trust = max(TRUST_FLOOR, row.trust * TRUST_LOSS)
     else:
         row.trust = min(1.0, row.trust + TRUST_GAIN)
-    others = reported_by_others(row) / max(1, row.slots)
-    row.pool.others_a_slot += (
-        MEAN_WEIGHT * row.trust * (others - row.pool.others_a_slot)
+    others = reported_load_from_peers(row) / max(1, row.slots)
+    row.pool.peer_load_per_slot += (
+        MEAN_WEIGHT * row.trust * (others - row.pool.peer_load_per_slot)
     )
-    _note_leaving(row, load, now)
+    _update_leaving_signal(row, load, now)
     row.pool.active = True
 
 
-def _note_leaving(row: BackendRow, load: Load, now: float) -> None:
-    """Keep a server's own word that it leaves until it has long not said so.
+def _update_leaving_signal(row: BackendRow, load: Load, now: float) -> None:
+    """Set a server's leaving signal, or clear it when it was not repeated for long.
 
-    Its load endpoint may lag behind its answers' header: were each report to count
-    alone, the late one would bring new requests to a server about to stop.
+    The load endpoint may lag behind the header in answers. If each report replaced
+    the one before, a late one would send new requests to a server about to stop.
     """
     if load.leaving:
         row.leaving.add(LeavingSource.OWN_SIGNAL)
-        row.signalled_at = now
+        row.leaving_signal_at = now
         return
-    if now - row.signalled_at < SIGNAL_KEPT_SECONDS:
+    if now - row.leaving_signal_at < LEAVING_SIGNAL_SECONDS:
         return
     if LeavingSource.OWN_SIGNAL in row.leaving:
         row.leaving.discard(LeavingSource.OWN_SIGNAL)
-        row.drained_told = False
+        row.drained_event_emitted = False
 
 
-def contradicts(row: BackendRow, load: Load) -> bool:
-    """Tell whether a report cannot be true beside what this host sees.
+def contradicts_local_state(row: BackendRow, load: Load) -> bool:
+    """Return True if a report contradicts what this host observes.
 
-    Three lies show: fewer requests than this host alone has there, an idle server
-    that answers far slower than its siblings, and a full one that answers no
-    slower than they do while this host has next to nothing there.
+    Three contradictions are detected: fewer requests than this host alone has in
+    flight, a server reported as less than half busy that is far slower than the pool's
+    median, and a server reported as overloaded that is no slower than the median.
     """
-    busy = load.in_flight + load.queued
-    if busy + OWN_COUNT_SLACK < row.in_flight:
+    reported_requests = load.in_flight + load.queued
+    if reported_requests + OWN_COUNT_SLACK < row.in_flight:
         return True
     if len(row.pool.latencies) < SAMPLES_MIN or row.answered < SAMPLES_MIN:
         return False
-    usual = median(row.pool.latencies)
-    if busy * 2 < row.slots:
-        return row.latency_seconds > usual * SLOW_FACTOR
-    return busy > row.slots * SLOW_FACTOR and row.latency_seconds <= usual
+    median_seconds = median(row.pool.latencies)
+    if reported_requests * 2 < row.slots:
+        return row.latency_seconds > median_seconds * SLOW_FACTOR
+    return (
+        reported_requests > row.slots * SLOW_FACTOR
+        and row.latency_seconds <= median_seconds
+    )
--- a/packages/core/greengagepoint/balancing/rows.py
+++ b/packages/core/greengagepoint/balancing/rows.py
@@ -1,4 +1,4 @@
-"""Keep the rows of backend servers in step with the records."""
+"""Synchronize the rows of backend servers with the records."""
 
 from greengagepoint.balancing.tables import (
     BackendRow,
@@ -15,49 +15,52 @@
 def sync_rows(
     table: BackendTable, configuration: Configuration, now: float, now_wall_ms: int
 ) -> None:
-    """Add, change and mark rows as the records say.
+    """Add and update rows and mark leaving ones according to the records.
 
-    Cheap when neither the records nor the set of begun drains has changed, so it
-    may run each tick and right after a change of configuration.
+    Cheap if no site or drain record has changed and no planned drain has begun, so
+    it may run on each tick and after each change of the configuration.
     """
     due = table.next_drain_wall_ms
-    if _is_known(table, configuration) and (due is None or now_wall_ms < due):
-        table.synced = configuration
+    if _is_up_to_date(table, configuration) and (due is None or now_wall_ms < due):
+        table.synced_configuration = configuration
         return
-    first = not table.rows
-    wanted = _wanted(configuration)
-    for key, server in wanted.items():
-        _sync_row(table, key, server, now, first)
+    is_initial = not table.rows
+    servers = _configured_servers(configuration)
+    for key, server in servers.items():
+        _sync_row(table, key, server, now, is_initial)
     for key, row in list(table.rows.items()):
-        if key not in wanted:
+        if key not in servers:
             row.leaving.add(LeavingSource.RECORD_REMOVED)
     _mark_drains(table, configuration, now_wall_ms)
-    drop_gone_rows(table)
+    drop_removed_rows(table)
     _index_pools(table)
-    table.synced = configuration
+    table.synced_configuration = configuration
 
 
-def _is_known(table: BackendTable, configuration: Configuration) -> bool:
-    """Tell whether the rows say what these records say.
+def _is_up_to_date(table: BackendTable, configuration: Configuration) -> bool:
+    """Return True if the sites and drains are the same as at the last update.
 
-    Most changes touch neither sites nor drains. Records that no change touched are
-    the same objects, so comparing a thousand sites takes microseconds, where walking
-    the rows of all their servers would stall the daemon for some 60 ms a change.
+    Most changes affect neither sites nor drains. Unchanged records are the same
+    objects, so comparing a thousand sites takes microseconds. Iterating over the rows
+    of all their servers would block the daemon for about 60 ms per change.
     """
-    synced = table.synced
-    if synced is configuration:
+    synced_configuration = table.synced_configuration
+    if synced_configuration is configuration:
         return True
-    return synced.sites == configuration.sites and synced.drains == configuration.drains
+    return (
+        synced_configuration.sites == configuration.sites
+        and synced_configuration.drains == configuration.drains
+    )
 
 
-def drop_gone_rows(table: BackendTable) -> None:
-    """Forget rows that no record names once nothing is in flight to them."""
-    gone = [
+def drop_removed_rows(table: BackendTable) -> None:
+    """Drop rows whose record was removed and that have no requests in flight."""
+    removed_keys = [
         key
         for key, row in table.rows.items()
         if LeavingSource.RECORD_REMOVED in row.leaving and row.in_flight == 0
     ]
-    for key in gone:
+    for key in removed_keys:
         row = table.rows.pop(key)
         pool = table.pools.get(key[:2])
         if pool is not None and row in pool.rows:
@@ -65,7 +68,7 @@
 
 
 def set_listed_leaving(table: BackendTable, names: frozenset[str]) -> None:
-    """Take over from the host list which backend servers are leaving."""
+    """Set which backend servers are leaving according to the host list."""
     for row in table.rows.values():
         row.pool.active = True
         if row.name in names:
@@ -74,8 +77,8 @@
             row.leaving.discard(LeavingSource.HOST_LIST)
 
 
-def _wanted(configuration: Configuration) -> dict[RowKey, BackendServer]:
-    """Return the backend servers that the records name."""
+def _configured_servers(configuration: Configuration) -> dict[RowKey, BackendServer]:
+    """Return the backend servers in the records."""
     return {
         (server.service, site.name, server.name): server
         for site in configuration.sites.values()
@@ -84,12 +87,17 @@
 
 
 def _sync_row(
-    table: BackendTable, key: RowKey, server: BackendServer, now: float, first: bool
+    table: BackendTable,
+    key: RowKey,
+    server: BackendServer,
+    now: float,
+    is_initial: bool,
 ) -> None:
-    """Make or change the row of one backend server.
+    """Create or update the row of one backend server.
 
-    A row with a new address is a new backend server: its caches are cold. Rows
-    made at this host's own start don't ramp, for the servers are not new.
+    A new address means a new backend server with cold caches, so its row is replaced.
+    Rows created when this host starts skip slow start, because the servers are not
+    new.
     """
     row = table.rows.get(key)
     if row is not None and row.address == server.address:
@@ -97,7 +105,7 @@
         row.connections = server.connections
         if LeavingSource.RECORD_REMOVED in row.leaving:
             row.leaving.discard(LeavingSource.RECORD_REMOVED)
-            row.drained_told = False
+            row.drained_event_emitted = False
         return
     table.rows[key] = BackendRow(
         name=server.name,
@@ -106,36 +114,36 @@
         address=server.address,
         slots=server.slots,
         connections=server.connections,
-        window_from=now,
-        slow_start_from=None if first else now,
+        window_started_at=now,
+        slow_start_from=None if is_initial else now,
     )
 
 
 def _mark_drains(
     table: BackendTable, configuration: Configuration, now_wall_ms: int
 ) -> None:
-    """Mark rows under a drain that has begun and find when the next one begins."""
-    begun: set[str] = set()
+    """Mark rows with a drain in progress and compute when the next drain begins."""
+    draining: set[str] = set()
     table.next_drain_wall_ms = None
     for drain in configuration.drains.values():
         if drain.target_kind is not DrainTarget.BACKEND_SERVER:
             continue
         start = wall_milliseconds(drain.start_at)
         if start <= now_wall_ms:
-            begun.add(drain.target)
+            draining.add(drain.target)
             continue
         due = table.next_drain_wall_ms
         table.next_drain_wall_ms = start if due is None else min(due, start)
     for row in table.rows.values():
-        if row.name in begun or f"{row.site}/{row.name}" in begun:
+        if row.name in draining or f"{row.site}/{row.name}" in draining:
             row.leaving.add(LeavingSource.DRAIN_RECORD)
         elif LeavingSource.DRAIN_RECORD in row.leaving:
             row.leaving.discard(LeavingSource.DRAIN_RECORD)
-            row.drained_told = False
+            row.drained_event_emitted = False
 
 
 def _index_pools(table: BackendTable) -> None:
-    """Group rows into pools, keeping what the pools have measured."""
+    """Group rows into pools, keeping the statistics of existing pools."""
     for pool in table.pools.values():
         pool.rows = []
         pool.active = True
--- a/packages/core/greengagepoint/balancing/shared_reports.py
+++ b/packages/core/greengagepoint/balancing/shared_reports.py
@@ -1,15 +1,15 @@
-"""Ask backend servers for their load and pass on what they say."""
+"""Poll backend servers for their load and share the reports with peers."""
 
 from typing import Final
 
 from greengagepoint.balancing.messages import LoadReports, PoolLoad, ServerLoad
 from greengagepoint.balancing.reports import InvalidLoadError, check_load, report
 from greengagepoint.balancing.sharing import (
-    ASK_SECONDS,
-    POOLS_A_MESSAGE_MAX,
-    SHARE_SECONDS,
-    USED_SECONDS,
-    WANTED_SECONDS,
+    POLL_INTERVAL_SECONDS,
+    POOLS_PER_MESSAGE_MAX,
+    RECENT_USE_SECONDS,
+    SHARE_INTERVAL_SECONDS,
+    SUBSCRIPTION_EXPIRY_SECONDS,
     SharingTable,
 )
 from greengagepoint.balancing.tables import (
@@ -21,27 +21,31 @@
     PoolKey,
 )
 
-LISTENERS_AT_FULL_RATE: Final = 16
+SUBSCRIBERS_AT_FULL_RATE: Final = 16
 
 
 def rows_to_ask(
     sharing: SharingTable, table: BackendTable, now: float
 ) -> list[BackendRow]:
-    """Return the rows that are wanted and have no report of their own lately.
+    """Return the subscribed rows without a recent direct report and mark them polled.
 
-    An answer's header is as good as being asked, so a busy host asks nearly
-    nothing.
+    A load header in an answer counts as a report, so a host that sends many requests
+    polls very little.
     """
-    _forget_old(sharing, now)
+    _remove_expired(sharing, now)
     due = []
-    for key in sharing.wanted:
+    for key in sharing.subscribers:
         pool = table.pools.get(key)
         for row in pool.rows if pool is not None else ():
             row_key = (row.service, row.site, row.name)
-            heard = row.reported_at if row.reported_own else float("-inf")
-            last = max(heard, sharing.asked.get(row_key, float("-inf")))
-            if now - last >= ASK_SECONDS:
-                sharing.asked[row_key] = now
+            direct_report_at = (
+                row.reported_at if row.reported_directly else float("-inf")
+            )
+            last_known_at = max(
+                direct_report_at, sharing.polled_at.get(row_key, float("-inf"))
+            )
+            if now - last_known_at >= POLL_INTERVAL_SECONDS:
+                sharing.polled_at[row_key] = now
                 due.append(row)
     return due
 
@@ -49,20 +53,25 @@
 def reports_to_send(
     sharing: SharingTable, table: BackendTable, own_name: str, now: float
 ) -> dict[str, LoadReports]:
-    """Return what to tell the hosts that want load.
+    """Return the load reports to send, by subscribed host.
 
-    All reports for one host go in one message each ``SHARE_SECONDS``, less often
-    when many hosts want them, so that an asker's messages a second are bounded. That
-    a server leaves is told at the next tick, for until then the others send to it.
+    All reports for one host go in one message each ``SHARE_INTERVAL_SECONDS``. With
+    more than ``SUBSCRIBERS_AT_FULL_RATE`` subscribers the interval grows, which bounds
+    a poller's messages per second. A server that starts leaving is announced at the
+    next tick, because peers keep sending requests to it until then.
     """
-    urgent = _newly_leaving(sharing, table)
-    listeners = len({host for hosts in sharing.wanted.values() for host in hosts})
-    interval = SHARE_SECONDS * max(1.0, listeners / LISTENERS_AT_FULL_RATE)
+    urgent = _newly_leaving_pools(sharing, table)
+    subscriber_count = len(
+        {host for hosts in sharing.subscribers.values() for host in hosts}
+    )
+    interval = SHARE_INTERVAL_SECONDS * max(
+        1.0, subscriber_count / SUBSCRIBERS_AT_FULL_RATE
+    )
     is_due = now - sharing.shared_at >= interval
     if is_due:
         sharing.shared_at = now
     loads: dict[str, list[PoolLoad]] = {}
-    for key, hosts in sharing.wanted.items():
+    for key, hosts in sharing.subscribers.items():
         if not is_due and key not in urgent:
             continue
         pool = table.pools.get(key)
@@ -73,7 +82,7 @@
             if host != own_name:
                 loads.setdefault(host, []).append(PoolLoad(*key, servers))
     return {
-        host: LoadReports(tuple(pools[:POOLS_A_MESSAGE_MAX]))
+        host: LoadReports(tuple(pools[:POOLS_PER_MESSAGE_MAX]))
         for host, pools in loads.items()
     }
 
@@ -81,7 +90,7 @@
 def take_reports(
     table: BackendTable, message: LoadReports, now: float
 ) -> list[BackendRow]:
-    """Take in shared reports; return the rows whose report cannot be true."""
+    """Apply a peer's load reports; return the rows whose report is out of range."""
     invalid: list[BackendRow] = []
     for pool in message.pools:
         for server in pool.servers:
@@ -94,14 +103,15 @@
             except InvalidLoadError:
                 invalid.append(row)
                 continue
-            report(row, load, now, server.age_ms / 1000, own=False)
+            report(row, load, now, server.age_ms / 1000, direct=False)
     return invalid
 
 
 def _server_loads(pool: Pool, now: float) -> tuple[ServerLoad, ...]:
-    """Return a pool's reports that came from the servers themselves.
+    """Return a pool's recent reports that came directly from its servers.
 
-    What other hosts told is left out: passed on and back it would never grow old.
+    Reports received from peers are left out: forwarded back and forth between hosts,
+    a report would never expire.
     """
     return tuple(
         ServerLoad(
@@ -114,36 +124,38 @@
         )
         for row in pool.rows
         if row.reported is not None
-        and row.reported_own
-        and now - row.reported_at < USED_SECONDS
+        and row.reported_directly
+        and now - row.reported_at < RECENT_USE_SECONDS
     )
 
 
-def _newly_leaving(sharing: SharingTable, table: BackendTable) -> set[PoolKey]:
-    """Return the pools of servers that have just said that they leave."""
+def _newly_leaving_pools(sharing: SharingTable, table: BackendTable) -> set[PoolKey]:
+    """Return the pools of servers whose own leaving signal is new."""
     pools: set[PoolKey] = set()
     rows = [row for pool in table.pools.values() if pool.active for row in pool.rows]
-    rows += [table.rows[key] for key in sharing.told_leaving if key in table.rows]
+    rows += [table.rows[key] for key in sharing.announced_leaving if key in table.rows]
     leaving = {
         (row.service, row.site, row.name)
         for row in rows
-        if row.reported_own and LeavingSource.OWN_SIGNAL in row.leaving
+        if row.reported_directly and LeavingSource.OWN_SIGNAL in row.leaving
     }
-    for key in leaving - sharing.told_leaving:
+    for key in leaving - sharing.announced_leaving:
         pools.add(key[:2])
-    sharing.told_leaving = leaving
+    sharing.announced_leaving = leaving
     return pools
 
 
-def _forget_old(sharing: SharingTable, now: float) -> None:
-    """Forget wishes that have not been repeated."""
-    for key, hosts in list(sharing.wanted.items()):
+def _remove_expired(sharing: SharingTable, now: float) -> None:
+    """Remove expired subscriptions and old poll times."""
+    for key, hosts in list(sharing.subscribers.items()):
         for host in [host for host, until in hosts.items() if until <= now]:
             del hosts[host]
         if not hosts:
-            del sharing.wanted[key]
-    if len(sharing.asked) > 2 * POOLS_A_MESSAGE_MAX:
-        oldest = now - WANTED_SECONDS
-        sharing.asked = {
-            key: asked for key, asked in sharing.asked.items() if asked > oldest
+            del sharing.subscribers[key]
+    if len(sharing.polled_at) > 2 * POOLS_PER_MESSAGE_MAX:
+        oldest_kept = now - SUBSCRIPTION_EXPIRY_SECONDS
+        sharing.polled_at = {
+            key: polled_at
+            for key, polled_at in sharing.polled_at.items()
+            if polled_at > oldest_kept
         }
--- a/packages/core/greengagepoint/balancing/shedding.py
+++ b/packages/core/greengagepoint/balancing/shedding.py
@@ -1,4 +1,4 @@
-"""Notice when the backend servers of a pool shed most of what they get."""
+"""Detect pools whose backend servers shed most of their requests."""
 
 from typing import Final
 
@@ -9,8 +9,8 @@
 SHED_HALF_LIFE_SECONDS: Final = 2.0
 
 
-def note_outcome(pool: Pool, now: float, *, shed: bool) -> None:
-    """Follow the share of requests that a pool sheds."""
+def record_outcome(pool: Pool, now: float, *, shed: bool) -> None:
+    """Update the moving average of the share of requests that a pool sheds."""
     if not shed and not pool.shed_share:
         return
     share = shed_share(pool, now)
@@ -19,9 +19,10 @@
 
 
 def shed_share(pool: Pool, now: float) -> float:
-    """Return the share of requests that a pool shed lately, 0 to 1.
+    """Return the recent share of requests that a pool shed, 0 to 1.
 
-    It halves with time, so that a pool that gets nothing is tried again.
+    It halves each ``SHED_HALF_LIFE_SECONDS``, so that a pool without requests is tried
+    again.
     """
     if not pool.shed_share:
         return 0.0
@@ -30,11 +31,12 @@
 
 
 def is_shedding(table: BackendTable, service: str, site: str, now: float) -> bool:
-    """Tell whether a service's requests had better go to another site first.
+    """Return True if requests for a service should try other sites first.
 
     A site that sheds everything still has free units and idle servers, so it would
-    stay the first choice of each request. Each would be sent on, the retry budget
-    would be used up, and most callers would be refused though other sites have room.
+    stay the first choice for each request. Each request would need a retry, the retry
+    budget would run out, and most callers would be rejected although other sites have
+    free capacity.
     """
     pool = table.pools.get((service, site))
     return pool is not None and shed_share(pool, now) > SHED_SHARE_MAX
--- a/packages/core/greengagepoint/balancing/tables.py
+++ b/packages/core/greengagepoint/balancing/tables.py
@@ -1,4 +1,4 @@
-"""Tables of the backend servers known to one host."""
+"""Tables of backend servers and their state as seen by one host."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -9,11 +9,11 @@
 
 from greengagepoint.configuration import EMPTY, Configuration
 
-LATENCIES_KEPT: Final = 64
+LATENCIES_MAX: Final = 64
 
 
 class LeavingSource(StrEnum):
-    """Who says that a backend server is leaving."""
+    """Source of the information that a backend server is leaving."""
 
     DRAIN_RECORD = "drain_record"
     OWN_SIGNAL = "own_signal"
@@ -32,7 +32,7 @@
 
 
 class Load(msgspec.Struct, frozen=True):
-    """What a backend server says of itself; counts are of requests."""
+    """Load reported by a backend server; counts are requests."""
 
     in_flight: int
     slots: int
@@ -40,28 +40,28 @@
     leaving: bool = False
 
 
-def _latencies() -> deque[float]:
+def _empty_latencies() -> deque[float]:
     """Return an empty window of service times in seconds."""
-    return deque(maxlen=LATENCIES_KEPT)
+    return deque(maxlen=LATENCIES_MAX)
 
 
-def _pool() -> "Pool":
-    """Return a pool for a row that is in none yet."""
+def _empty_pool() -> "Pool":
+    """Return an empty pool for a row that is not in a pool yet."""
     return Pool()
 
 
 @dataclass(slots=True)
 class BackendRow:
-    """One backend server as this host sees it.
-
-    Times are monotonic seconds. ``started_at`` is when a request was last sent.
-    ``reported`` is the last load report, ``reported_at`` when it was true,
-    ``reported_own`` whether this host had it from the server itself and
-    ``own_at_report`` this host's part of it.
-    ``trust`` is its weight, 0 to 1. ``warm`` estimates the connections that are open,
-    ``slow_start_from`` is when requests to it began to ramp up (None: at full
-    rate), ``signalled_at`` when it last said itself that it leaves. ``pool`` is
-    what the row is in.
+    """State of one backend server as seen by this host; times are monotonic seconds.
+
+    ``started_at`` is when a request was last sent. ``reported`` is the last load
+    report, ``reported_at`` the time it describes, ``reported_directly`` whether it
+    came from the server itself and not from a peer, and
+    ``own_in_flight_at_report`` this host's requests in flight when it was received.
+    ``trust`` is the weight of its reports, 0 to 1. ``warm_connections`` estimates the
+    open connections, ``peak_in_flight`` is the most requests in flight since
+    ``window_started_at``. ``slow_start_from`` is when slow start began (None: full
+    rate), ``leaving_signal_at`` when a report last marked the server as leaving.
     """
 
     name: str
@@ -72,15 +72,15 @@
     connections: int
     in_flight: int = 0
     started_at: float | None = None
-    warm: int = 0
-    window_peak: int = 0
-    window_from: float = 0.0
+    warm_connections: int = 0
+    peak_in_flight: int = 0
+    window_started_at: float = 0.0
     latency_seconds: float = 0.0
     answered: int = 0
     reported: Load | None = None
     reported_at: float = 0.0
-    reported_own: bool = False
-    own_at_report: int = 0
+    reported_directly: bool = False
+    own_in_flight_at_report: int = 0
     trust: float = 1.0
     failures_in_row: int = 0
     failure_rate: float = 0.0
@@ -90,11 +90,11 @@
     ejection_wanted: bool = False
     slow_start_from: float | None = None
     leaving: set[LeavingSource] = field(default_factory=set)
-    signalled_at: float = 0.0
-    pool: "Pool" = field(default_factory=_pool)
-    leaving_told: bool = False
-    drained_told: bool = False
-    distrust_told: bool = False
+    leaving_signal_at: float = 0.0
+    pool: "Pool" = field(default_factory=_empty_pool)
+    leaving_event_emitted: bool = False
+    drained_event_emitted: bool = False
+    distrust_event_emitted: bool = False
 
 
 RowKey = tuple[str, str, str]
@@ -105,17 +105,17 @@
 class Pool:
     """The backend servers of one service at one site.
 
-    ``latencies`` are the newest service times in seconds, ``others_a_slot`` the
-    mean of what reports say of other hosts' requests; ``probed_at`` is when a pool
-    that is down was last tried. ``active`` tells that the periodic work has something
-    to do: of a thousand sites a host sends to few. ``shed_share`` is the part of its
-    requests that were shed, as of ``shed_at``. ``last_choice`` is for policies that go
-    round.
+    ``latencies`` are the newest service times in seconds. ``peer_load_per_slot`` is the
+    mean of the peers' requests per slot according to load reports. ``probed_at`` is
+    when a pool that is down was last probed. ``active`` is False while the pool needs
+    no periodic work: of a thousand sites, a host sends requests to few. ``shed_share``
+    is the share of requests that were shed, as of ``shed_at``. ``last_choice`` is the
+    position of the round-robin policy.
     """
 
     rows: list[BackendRow] = field(default_factory=list)
-    latencies: deque[float] = field(default_factory=_latencies)
-    others_a_slot: float = 0.0
+    latencies: deque[float] = field(default_factory=_empty_latencies)
+    peer_load_per_slot: float = 0.0
     probed_at: float = float("-inf")
     shed_share: float = 0.0
     shed_at: float = 0.0
@@ -127,10 +127,12 @@
 class BackendTable:
     """All backend servers by (service, site, name) and pools by (service, site).
 
-    ``next_drain_wall_ms`` is when the next planned drain begins.
+    ``synced_configuration`` is the one that the rows were last updated from.
+    ``next_drain_wall_ms`` is when the next planned drain begins, in wall-clock
+    milliseconds.
     """
 
     rows: dict[RowKey, BackendRow] = field(default_factory=dict)
     pools: dict[PoolKey, Pool] = field(default_factory=dict)
-    synced: Configuration = EMPTY
+    synced_configuration: Configuration = EMPTY
     next_drain_wall_ms: int | None = None
--- a/packages/core/tests/test_balancing_choice.py
+++ b/packages/core/tests/test_balancing_choice.py
@@ -7,7 +7,7 @@
 from greengagepoint.balancing.choice import choose, finished, started
 from greengagepoint.balancing.reports import (
     InvalidLoadError,
-    contradicts,
+    contradicts_local_state,
     parse_load,
     report,
 )
@@ -165,7 +165,7 @@
     sync_rows(table, configured(count=4, generation=2), 100.0, 0)
     rows = table.pools["booking", "s"].rows
     for row in rows:
-        row.warm = 5
+        row.warm_connections = 5
         if row.name != "b3":
             started(row, 100.0)
             started(row, 100.0)
@@ -262,7 +262,7 @@
     answer_all(rows[1:], 16)
     for _ in range(own):
         started(rows[0], 0.0)
-    assert contradicts(rows[0], load) is expected
+    assert contradicts_local_state(rows[0], load) is expected
 
 
 def test_lying_report_loses_its_weight():
--- a/packages/core/tests/test_balancing_rest.py
+++ b/packages/core/tests/test_balancing_rest.py
@@ -5,7 +5,7 @@
 
 from greengagepoint.balancing import system
 from greengagepoint.balancing.choice import (
-    FAILURES_IN_ROW_MAX,
+    CONSECUTIVE_FAILURES_MAX,
     finished,
     started,
 )
@@ -77,7 +77,7 @@
         elif action == "start":
             started(row, now)
         elif action == "break":
-            for _ in range(FAILURES_IN_ROW_MAX):
+            for _ in range(CONSECUTIVE_FAILURES_MAX):
                 started(row, now)
                 finished(row, Outcome.FAILED, 0.05, now)
         elif action in ("answer", "fail"):
@@ -94,7 +94,7 @@
         wanted = records(self.generation, self.removed, self.drained)
         sync_rows(self.table, wanted, now, 0)
         reports_to_send(self.sharing, self.table, "me", now)
-        told = set(self.sharing.told_leaving)
+        told = set(self.sharing.announced_leaving)
         events = system.run(self.table, now)
         return events, used_pools(self.table, now), told, set(self.table.rows)
 
--- a/packages/core/tests/test_balancing_sharing.py
+++ b/packages/core/tests/test_balancing_sharing.py
@@ -76,7 +76,7 @@
 
 
 def askers_of(fleet):
-    return sharing.askers(SharingTable(), POOL, CONFIGURATION, HOSTS)
+    return sharing.pollers(SharingTable(), POOL, CONFIGURATION, HOSTS)
 
 
 @pytest.mark.parametrize(
@@ -89,16 +89,16 @@
     ],
 )
 def test_askers_are_the_nearest_hosts(hosts, expected):
-    assert set(sharing.askers(SharingTable(), POOL, CONFIGURATION, hosts)) == expected
-    assert sharing.askers(SharingTable(), ("x", "none"), CONFIGURATION, hosts) == ()
+    assert set(sharing.pollers(SharingTable(), POOL, CONFIGURATION, hosts)) == expected
+    assert sharing.pollers(SharingTable(), ("x", "none"), CONFIGURATION, hosts) == ()
 
 
 @given(st.permutations(HOSTS), st.sampled_from(HOSTS))
 def test_hosts_agree_on_askers_and_a_lost_one_moves_only_its_part(hosts, lost):
-    before = sharing.askers(SharingTable(), POOL, CONFIGURATION, HOSTS)
-    assert sharing.askers(SharingTable(), POOL, CONFIGURATION, hosts) == before
+    before = sharing.pollers(SharingTable(), POOL, CONFIGURATION, HOSTS)
+    assert sharing.pollers(SharingTable(), POOL, CONFIGURATION, hosts) == before
     rest = [host for host in hosts if host is not lost]
-    after = sharing.askers(SharingTable(), POOL, CONFIGURATION, rest)
+    after = sharing.pollers(SharingTable(), POOL, CONFIGURATION, rest)
     kept = [name for name in before if name != lost.name]
     assert [name for name in after if name in before] == kept
 
@@ -168,4 +168,4 @@
     host.use(120.0)
     assert set(host.wants(121.0)) == set(askers_of(fleet))
     assert host.wants(140.0) == {}
-    assert host.sharing.wants_sent == {}
+    assert host.sharing.sent_subscriptions == {}
--- a/packages/core/tests/test_balancing_sync.py
+++ b/packages/core/tests/test_balancing_sync.py
@@ -44,7 +44,7 @@
     )
     sync_rows(table, RECORDS._replace(generation=2, **change), 1.0, 0)
     assert bool(walked) == walks
-    assert table.synced.generation == 2
+    assert table.synced_configuration.generation == 2
 
 
 def test_a_planned_drain_begins_after_a_change_of_another_record():
