--- a/packages/core/greengagepoint/balancing/shared_reports.py
+++ b/packages/core/greengagepoint/balancing/shared_reports.py
@@ -111,7 +111,7 @@
     """Return a pool's recent reports that came directly from its servers.
 
     Reports received from peers are left out: forwarded back and forth between hosts,
-    a report would never expire.
+    an old report would look new forever.
     """
     return tuple(
         ServerLoad(
--- a/packages/core/tests/test_balancing_choice.py
+++ b/packages/core/tests/test_balancing_choice.py
@@ -19,7 +19,7 @@
 from greengagepoint.records.schemas import BackendServer, Drain, DrainTarget, Site
 
 
-def configured(count=4, connections=400, drains=(), generation=1):
+def make_configuration(count=4, connections=400, drains=(), generation=1):
     servers = tuple(
         BackendServer(f"b{number}", "booking", f"b{number}:80", 10, connections)
         for number in range(count)
@@ -40,14 +40,14 @@
     )
 
 
-def filled(**kwargs):
+def make_table(**kwargs):
     table = BackendTable()
-    sync_rows(table, configured(**kwargs), 0.0, 0)
+    sync_rows(table, make_configuration(**kwargs), 0.0, 0)
     return table, table.pools["booking", "s"].rows
 
 
-def chosen(table, now=0.0, exclude=frozenset(), count=60):
-    """Return the names chosen by that many independent draws."""
+def chosen_names(table, now=0.0, exclude=frozenset(), count=60):
+    """Return the names chosen in ``count`` independent choices."""
     rows = [
         choose(table, "booking", "s", now, Random(seed), exclude)
         for seed in range(count)
@@ -55,7 +55,7 @@
     return {row.name for row in rows if row is not None}
 
 
-def answer_all(rows, count, latency=0.01):
+def answer_requests(rows, count, latency=0.01):
     for row in rows:
         for _ in range(count):
             started(row, 0.0)
@@ -63,7 +63,9 @@
 
 
 def leave_by_record(table, rows):
-    sync_rows(table, configured(drains=[("b0", "1970-01-01T00:00:00Z")]), 1.0, 0)
+    sync_rows(
+        table, make_configuration(drains=[("b0", "1970-01-01T00:00:00Z")]), 1.0, 0
+    )
 
 
 def leave_by_signal(table, rows):
@@ -71,7 +73,7 @@
 
 
 def leave_by_removal(table, rows):
-    kept = configured()
+    kept = make_configuration()
     site = kept.sites["s"]
     site = Site(
         name="s",
@@ -91,111 +93,111 @@
     "leave",
     [leave_by_record, leave_by_signal, leave_by_removal, leave_by_host_list],
 )
-def test_leaving_server_gets_nothing_new(leave):
-    """One source says that a backend server leaves while it serves a request.
+def test_leaving_server_gets_no_new_requests(leave):
+    """A backend server is marked as leaving while it serves a request.
 
-    The next choice already passes it over, though it is the least busy; the
-    request in flight goes on, and when it ends the server counts as drained.
+    From the next choice on it gets no new requests, although it is the least busy.
+    The request in flight continues; when it ends, the server is drained.
     """
-    table, rows = filled()
-    leaver = rows[0]
-    started(leaver, 0.0)
+    table, rows = make_table()
+    leaving_server = rows[0]
+    started(leaving_server, 0.0)
     for row in rows[1:]:
         for _ in range(5):
             started(row, 0.0)
-    assert chosen(table) == {"b0"}
+    assert chosen_names(table) == {"b0"}
     leave(table, rows)
-    assert chosen(table, 1.0) <= {"b1", "b2", "b3"}
-    assert [found.event for found in run(table, 1.0)] == [Event.BACKEND_SERVER_LEAVING]
-    finished(leaver, Outcome.ANSWERED, 0.01, 2.0)
-    assert Event.BACKEND_SERVER_DRAINED in [found.event for found in run(table, 2.0)]
+    assert chosen_names(table, 1.0) <= {"b1", "b2", "b3"}
+    assert [item.event for item in run(table, 1.0)] == [Event.BACKEND_SERVER_LEAVING]
+    finished(leaving_server, Outcome.ANSWERED, 0.01, 2.0)
+    assert Event.BACKEND_SERVER_DRAINED in [item.event for item in run(table, 2.0)]
     assert run(table, 2.5) == []
 
 
-def test_lagging_endpoint_does_not_bring_a_leaving_server_back():
-    """A server says in an answer that it leaves; its load endpoint still denies it.
+def test_outdated_load_endpoint_does_not_clear_the_leaving_signal():
+    """A server signals leaving in an answer; its load endpoint reports otherwise.
 
-    It gets nothing new; only half a minute without its word brings it back.
+    It gets no new requests until it has not repeated the signal for half a minute.
     """
-    table, rows = filled()
+    table, rows = make_table()
     leave_by_signal(table, rows)
     report(rows[0], Load(0, 10), 5.0)
-    assert "b0" not in chosen(table, 5.0)
+    assert "b0" not in chosen_names(table, 5.0)
     report(rows[0], Load(0, 10), 32.0)
-    assert "b0" in chosen(table, 32.0)
+    assert "b0" in chosen_names(table, 32.0)
 
 
 def test_planned_drain_begins_at_its_time():
-    table, _rows = filled()
-    configuration = configured(drains=[("b0", "1970-01-01T00:00:10Z")])
+    table, _rows = make_table()
+    configuration = make_configuration(drains=[("b0", "1970-01-01T00:00:10Z")])
     sync_rows(table, configuration, 1.0, 9_999)
-    assert "b0" in chosen(table, 1.0)
+    assert "b0" in chosen_names(table, 1.0)
     sync_rows(table, configuration, 2.0, 10_000)
-    assert "b0" not in chosen(table, 2.0)
-    sync_rows(table, configured(generation=3), 3.0, 10_000)
-    assert "b0" in chosen(table, 3.0)
+    assert "b0" not in chosen_names(table, 2.0)
+    sync_rows(table, make_configuration(generation=3), 3.0, 10_000)
+    assert "b0" in chosen_names(table, 3.0)
 
 
 def test_choice_prefers_fewer_in_flight_then_warm_connections():
-    table, rows = filled(count=2)
-    answer_all(rows[:1], 1, 0.005)
-    assert chosen(table) == {"b0"}
+    table, rows = make_table(count=2)
+    answer_requests(rows[:1], 1, 0.005)
+    assert chosen_names(table) == {"b0"}
     started(rows[0], 0.0)
     started(rows[0], 0.0)
-    assert chosen(table) == {"b1"}
+    assert chosen_names(table) == {"b1"}
 
 
-def test_connections_bound_holds_and_exclude_is_kept():
-    table, rows = filled(count=2, connections=1)
+def test_connection_limit_and_exclude_are_respected():
+    table, rows = make_table(count=2, connections=1)
     started(rows[0], 0.0)
-    assert chosen(table) == {"b1"}
-    assert chosen(table, exclude=frozenset({"b1"})) == set()
+    assert chosen_names(table) == {"b1"}
+    assert chosen_names(table, exclude=frozenset({"b1"})) == set()
     report(rows[1], Load(1, 10), 0.0)
-    assert chosen(table) == set()
+    assert chosen_names(table) == set()
     assert choose(table, "records", "s", 0.0, Random(1)) is None
 
 
-def test_new_server_starts_slowly():
-    """A cold server joins a pool; each sibling has two requests in flight.
+def test_new_server_gets_slow_start():
+    """A cold server joins a pool whose servers have two requests in flight each.
 
-    At first it gets next to nothing, though it is idle; after slow start it is
-    the best choice.
+    At first it is not chosen, although it is idle; after slow start it is the best
+    choice.
     """
-    table, _rows = filled(count=3)
-    sync_rows(table, configured(count=4, generation=2), 100.0, 0)
+    table, _rows = make_table(count=3)
+    sync_rows(table, make_configuration(count=4, generation=2), 100.0, 0)
     rows = table.pools["booking", "s"].rows
     for row in rows:
         row.warm_connections = 5
         if row.name != "b3":
             started(row, 100.0)
             started(row, 100.0)
-    assert "b3" not in chosen(table, 100.0)
-    assert chosen(table, 110.0) == {"b3"}
+    assert "b3" not in chosen_names(table, 100.0)
+    assert chosen_names(table, 110.0) == {"b3"}
 
 
-def test_failing_server_is_ejected_then_readmitted_slowly():
+def test_failing_server_is_ejected_then_readmitted_with_slow_start():
     """A backend server refuses each request at once.
 
-    Being fast to fail it has few in flight and would draw all requests; after
-    five failures it is passed over, at the next tick ejected, and when its time
-    is over it comes back with slow start.
+    Because it fails fast, it has few requests in flight and would attract all
+    requests. After five failures it is no longer chosen, at the next tick it is
+    ejected, and when the ejection ends it is readmitted with slow start.
     """
-    table, rows = filled()
+    table, rows = make_table()
     for _ in range(5):
         started(rows[0], 0.0)
         finished(rows[0], Outcome.REFUSED, 0.0, 0.0)
-    assert "b0" not in chosen(table)
+    assert "b0" not in chosen_names(table)
     events = run(table, 0.0)
-    assert [found.event for found in events] == [Event.BACKEND_SERVER_EJECTED]
-    assert "b0" not in chosen(table, 4.9)
+    assert [item.event for item in events] == [Event.BACKEND_SERVER_EJECTED]
+    assert "b0" not in chosen_names(table, 4.9)
     events = run(table, 5.0)
-    assert [found.event for found in events] == [Event.BACKEND_SERVER_READMITTED]
+    assert [item.event for item in events] == [Event.BACKEND_SERVER_READMITTED]
     assert rows[0].slow_start_from == 5.0
 
 
 @pytest.mark.parametrize(("pause", "seconds"), [(0.0, 10.0), (301.0, 5.0)])
-def test_ejection_lasts_longer_each_time_until_forgotten(pause, seconds):
-    table, rows = filled()
+def test_ejection_lasts_longer_each_time_until_the_count_resets(pause, seconds):
+    table, rows = make_table()
 
     def eject(now):
         for _ in range(5):
@@ -211,29 +213,29 @@
 
 
 def test_site_that_is_down_is_probed_once_a_second():
-    """All servers of a site refuse, more than may be ejected.
+    """All servers of a site refuse requests, more than may be ejected.
 
-    Requests find no server there and go on to the next site at once; one a second
-    tries, and when it is answered the site takes requests again.
+    Requests get no server there and go to the next site at once. One request per
+    second probes the site; when it succeeds, its server gets requests again.
     """
-    table, rows = filled()
+    table, rows = make_table()
     for row in rows:
         for _ in range(5):
             started(row, 0.0)
             finished(row, Outcome.REFUSED, 0.0, 0.0)
     run(table, 0.0)
-    tries = [choose(table, "booking", "s", 0.1, Random(1)) for _ in range(3)]
-    assert [row is not None for row in tries] == [True, False, False]
+    probes = [choose(table, "booking", "s", 0.1, Random(1)) for _ in range(3)]
+    assert [row is not None for row in probes] == [True, False, False]
     assert choose(table, "booking", "s", 1.0, Random(1)) is None
-    probed = choose(table, "booking", "s", 1.2, Random(1))
-    started(probed, 1.2)
-    finished(probed, Outcome.ANSWERED, 0.01, 1.3)
-    assert chosen(table, 1.3) == {probed.name}
+    probed_row = choose(table, "booking", "s", 1.2, Random(1))
+    started(probed_row, 1.2)
+    finished(probed_row, Outcome.ANSWERED, 0.01, 1.3)
+    assert chosen_names(table, 1.3) == {probed_row.name}
 
 
 @given(st.integers(0, 30), st.data())
 def test_ejection_is_bounded(count, data):
-    table, rows = filled(count=max(1, count))
+    table, rows = make_table(count=max(1, count))
     for row in rows:
         for _ in range(data.draw(st.integers(0, 8))):
             started(row, 0.0)
@@ -255,45 +257,45 @@
         (Load(90, 10), 0, True, False),
     ],
 )
-def test_report_contradicts(load, own, slow, expected):
-    _table, rows = filled()
-    answer_all(rows, 16)
-    answer_all(rows[:1], 16, 0.2 if slow else 0.01)
-    answer_all(rows[1:], 16)
+def test_report_contradicts_local_state(load, own, slow, expected):
+    _table, rows = make_table()
+    answer_requests(rows, 16)
+    answer_requests(rows[:1], 16, 0.2 if slow else 0.01)
+    answer_requests(rows[1:], 16)
     for _ in range(own):
         started(rows[0], 0.0)
     assert contradicts_local_state(rows[0], load) is expected
 
 
-def test_lying_report_loses_its_weight():
-    """A server always reports itself idle; this host alone has nine there.
+def test_contradicting_reports_lose_trust():
+    """A server always reports no load; this host alone has nine requests there.
 
-    Its reports lose trust at each contradiction and an event tells it once.
+    Its reports lose trust with each contradiction, and one event is emitted.
     """
-    table, rows = filled()
+    table, rows = make_table()
     for _ in range(9):
         started(rows[0], 0.0)
     for tick in range(3):
         report(rows[0], Load(0, 10), float(tick))
     assert rows[0].trust < 0.2
-    assert [found.event for found in run(table, 3.0)] == [Event.LOAD_REPORT_DISTRUSTED]
+    assert [item.event for item in run(table, 3.0)] == [Event.LOAD_REPORT_DISTRUSTED]
     assert run(table, 4.0) == []
 
 
-def test_report_ages_and_late_one_is_ignored():
-    """Two hosts share reports of one busy server; one arrives late.
+def test_report_weight_decays_and_late_report_is_ignored():
+    """Two reports of a busy server arrive, the older one late.
 
-    A fresh report sends requests elsewhere; the late one changes nothing; a report
-    as old as several requests counts no longer.
+    The new report moves requests to other servers and the late one is ignored. After
+    several service times the report has no effect on the choice.
     """
-    table, rows = filled(count=2)
-    answer_all(rows, 1)
+    table, rows = make_table(count=2)
+    answer_requests(rows, 1)
     report(rows[0], Load(8, 10), 10.0)
-    assert chosen(table, 10.0) == {"b1"}
+    assert chosen_names(table, 10.0) == {"b1"}
     report(rows[0], Load(0, 10), 10.0, age_seconds=3.0)
     assert rows[0].reported == Load(8, 10)
-    assert chosen(table, 10.0) == {"b1"}
-    assert chosen(table, 30.0) == {"b0", "b1"}
+    assert chosen_names(table, 10.0) == {"b1"}
+    assert chosen_names(table, 30.0) == {"b0", "b1"}
 
 
 @pytest.mark.parametrize(
@@ -309,7 +311,7 @@
         b"\xff\xfe",
     ],
 )
-def test_invalid_load_is_refused(text):
+def test_invalid_load_is_rejected(text):
     with pytest.raises(InvalidLoadError, match="the load report"):
         parse_load(text)
 
@@ -321,7 +323,7 @@
 
 @given(st.lists(st.sampled_from(list(Outcome)), max_size=40))
 def test_counts_return_to_zero(outcomes):
-    _table, rows = filled(count=1)
+    _table, rows = make_table(count=1)
     for _ in outcomes:
         started(rows[0], 0.0)
     for outcome in outcomes:
--- a/packages/core/tests/test_balancing_rest.py
+++ b/packages/core/tests/test_balancing_idle_pools.py
@@ -1,4 +1,4 @@
-"""Tests that pools at rest are left out without anything being missed."""
+"""Tests that the periodic work may skip idle pools."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -32,7 +32,7 @@
 )
 
 
-def records(generation: int, removed: set[str], drained: set[str]):
+def make_configuration(generation: int, removed: set[str], drained: set[str]):
     servers = tuple(
         BackendServer(name, "booking", f"{name}:80", 10)
         for name in SERVERS
@@ -52,16 +52,16 @@
 
 
 class Host:
-    """One host's table; ``rests`` False looks at every pool each tick."""
+    """One host's table; with ``skips_idle`` False each tick checks every pool."""
 
-    def __init__(self, *, rests: bool) -> None:
-        self.rests = rests
+    def __init__(self, *, skips_idle: bool) -> None:
+        self.skips_idle = skips_idle
         self.table = BackendTable()
         self.sharing = SharingTable()
         self.generation = 1
         self.removed: set[str] = set()
         self.drained: set[str] = set()
-        sync_rows(self.table, records(1, set(), set()), 0.0, 0)
+        sync_rows(self.table, make_configuration(1, set(), set()), 0.0, 0)
 
     def step(self, action: str, name: str, now: float) -> None:
         row = self.table.rows.get(("booking", "s", name))
@@ -88,37 +88,39 @@
             report(row, Load(1, 10, leaving=action == "leave"), now)
 
     def tick(self, now: float) -> tuple:
-        if not self.rests:
+        if not self.skips_idle:
             for pool in self.table.pools.values():
                 pool.active = True
-        wanted = records(self.generation, self.removed, self.drained)
-        sync_rows(self.table, wanted, now, 0)
+        current_records = make_configuration(
+            self.generation, self.removed, self.drained
+        )
+        sync_rows(self.table, current_records, now, 0)
         reports_to_send(self.sharing, self.table, "me", now)
-        told = set(self.sharing.announced_leaving)
+        announced = set(self.sharing.announced_leaving)
         events = system.run(self.table, now)
-        return events, used_pools(self.table, now), told, set(self.table.rows)
+        return events, used_pools(self.table, now), announced, set(self.table.rows)
 
 
 @given(STEPS)
-def test_rest_hides_nothing(steps):
-    """A host sends to few of a thousand sites and looks at the others' rows no more.
+def test_skipping_idle_pools_changes_no_result(steps):
+    """A host sends to few of a thousand sites and skips the idle pools of the others.
 
-    Whatever happens to a row, what the host tells, whom it asks for load and which
-    rows it holds are the same as if it had looked at all rows each tick; else a
-    server that leaves or fails in a quiet pool would go unnoticed.
+    Its events, the pools in use, announced leaving servers and rows must be the same
+    as if each tick checked all rows. Otherwise a server that leaves or fails in an
+    idle pool would not be detected.
     """
-    resting, looking = Host(rests=True), Host(rests=False)
+    skipping, checking_all = Host(skips_idle=True), Host(skips_idle=False)
     now = 100.0
     for action, name, seconds in steps:
-        for host in (resting, looking):
+        for host in (skipping, checking_all):
             host.step(action, name, now)
-        assert resting.tick(now) == looking.tick(now)
+        assert skipping.tick(now) == checking_all.tick(now)
         now += seconds
-        assert resting.tick(now) == looking.tick(now)
+        assert skipping.tick(now) == checking_all.tick(now)
 
 
-def test_an_idle_pool_comes_to_rest_and_wakes():
-    host = Host(rests=True)
+def test_an_idle_pool_becomes_inactive_until_used():
+    host = Host(skips_idle=True)
     pool = host.table.pools["booking", "s"]
     host.tick(0.0)
     assert not pool.active
@@ -132,8 +134,8 @@
     assert not pool.active
 
 
-def test_a_removed_row_goes_with_its_last_request():
-    host = Host(rests=True)
+def test_a_removed_row_is_dropped_after_its_last_request():
+    host = Host(skips_idle=True)
     host.step("start", "a", 0.0)
     host.step("remove", "a", 0.0)
     host.tick(0.25)
@@ -144,7 +146,7 @@
 
 
 def test_an_ejected_server_is_readmitted_without_traffic():
-    host = Host(rests=True)
+    host = Host(skips_idle=True)
     now = 0.0
     for ejections in range(1, 7):
         host.step("break", "a", now)
--- a/packages/core/tests/test_balancing_replay.py
+++ b/packages/core/tests/test_balancing_replay.py
@@ -11,11 +11,11 @@
 from greengagepoint.records.schemas import BackendServer, Drain, DrainTarget, Site
 
 TRACE = Path(__file__).parent / "traces" / "backend_choice.jsonl"
-NOON = "1970-01-01T00:00:00Z"
+EPOCH_TIME = "1970-01-01T00:00:00Z"
 
 
 class Replay:
-    """One host that meets what the trace holds."""
+    """One host to which the steps of the trace are applied."""
 
     def __init__(self):
         self.names = ["b0", "b1", "b2", "b3"]
@@ -56,7 +56,7 @@
                 name=name,
                 target_kind=DrainTarget.BACKEND_SERVER,
                 target=name,
-                start_at=NOON,
+                start_at=EPOCH_TIME,
             )
             self.sync(at)
         elif op == "add":
@@ -66,27 +66,27 @@
 
 
 def replay():
-    found = Replay()
+    result = Replay()
     for line in TRACE.read_text().splitlines():
-        found.step(**json.loads(line))
-    return found
+        result.step(**json.loads(line))
+    return result
 
 
 def test_recorded_trace_has_its_stated_outcomes(snapshot):
-    """Arrivals, failures and reports are replayed; two servers leave, one joins.
+    """Requests, failures and reports are replayed; two servers leave, one joins.
 
-    Nothing new goes to the drained server nor to the one that says it leaves; the
-    server that joins cold gets few at first; the same trace gives the same choices.
+    The drained server and the one that signals leaving get no new requests. The new
+    server gets few requests at first. The same trace gives the same choices.
     """
-    found = replay()
-    assert found.chosen == replay().chosen
-    marks = {"drain": "b1", "signal": "b2"}
+    result = replay()
+    assert result.chosen == replay().chosen
+    leaving_servers = {"drain": "b1", "signal": "b2"}
     for line in map(json.loads, TRACE.read_text().splitlines()):
-        if line["op"] in marks:
-            after = {name for at, name in found.chosen if at > line["at"]}
-            assert marks[line["op"]] not in after
+        if line["op"] in leaving_servers:
+            after = {name for at, name in result.chosen if at > line["at"]}
+            assert leaving_servers[line["op"]] not in after
             assert after
         if line["op"] == "add":
-            late = [name for at, name in found.chosen if at > line["at"]]
-            assert late.count("b4") < len(late) / 3
-    assert [name for _at, name in found.chosen] == snapshot
+            later_choices = [name for at, name in result.chosen if at > line["at"]]
+            assert later_choices.count("b4") < len(later_choices) / 3
+    assert [name for _at, name in result.chosen] == snapshot
--- a/packages/core/tests/test_balancing_service_time.py
+++ b/packages/core/tests/test_balancing_service_time.py
@@ -25,5 +25,5 @@
     for key, seconds in samples.items():
         table.pools[key] = Pool()
         table.pools[key].latencies.extend(seconds)
-    found = service_time(table, service, site)
-    assert found == (expected if expected is None else pytest.approx(expected))
+    measured = service_time(table, service, site)
+    assert measured == (expected if expected is None else pytest.approx(expected))
--- a/packages/core/tests/test_balancing_sync.py
+++ b/packages/core/tests/test_balancing_sync.py
@@ -1,4 +1,4 @@
-"""Tests of rows of backend servers when records change that don't concern them."""
+"""Tests that changes of unrelated records leave the backend rows alone."""
 
 import pytest
 
@@ -13,7 +13,7 @@
     Team,
 )
 
-BEGINS_MS = 10_000
+DRAIN_START_MS = 10_000
 SERVERS = tuple(BackendServer(name, "booking", f"{name}:80", 10) for name in "ab")
 SITE = Site(name="s", region="r", zone="z", capacity=20, backend_servers=SERVERS)
 DRAIN = Drain(
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "walks"),
+    ("change", "updates_rows"),
     [
         ({"teams": {"t": TEAM}}, False),
         ({"sites": {"s": SITE}, "drains": {"d": DRAIN}}, False),
@@ -35,29 +35,31 @@
         ({"sites": {"s": SITE, "s2": SITE}}, True),
     ],
 )
-def test_only_sites_and_drains_cause_a_walk(monkeypatch, change, walks):
+def test_only_changed_sites_and_drains_update_the_rows(
+    monkeypatch, change, updates_rows
+):
     table = BackendTable()
     sync_rows(table, RECORDS, 0.0, 0)
-    walked = []
+    index_calls = []
     monkeypatch.setattr(
-        "greengagepoint.balancing.rows._index_pools", lambda _: walked.append(True)
+        "greengagepoint.balancing.rows._index_pools", lambda _: index_calls.append(True)
     )
     sync_rows(table, RECORDS._replace(generation=2, **change), 1.0, 0)
-    assert bool(walked) == walks
+    assert bool(index_calls) == updates_rows
     assert table.synced_configuration.generation == 2
 
 
 def test_a_planned_drain_begins_after_a_change_of_another_record():
     """A drain is planned for 10 s from now; meanwhile a team's record changes.
 
-    The change leaves the rows alone, and with them the time at which the drain is
-    due. Were that forgotten, requests would go to the server until it is gone.
+    The change must not update the rows or lose the start time of the drain. Without
+    the start time, requests would be sent to the server until it shuts down.
     """
     table = BackendTable()
     sync_rows(table, RECORDS, 0.0, 0)
     changed = RECORDS._replace(generation=2, teams={"t": TEAM})
-    sync_rows(table, changed, 1.0, BEGINS_MS - 1)
+    sync_rows(table, changed, 1.0, DRAIN_START_MS - 1)
     row = table.rows["booking", "s", "a"]
     assert not row.leaving
-    sync_rows(table, changed, 2.0, BEGINS_MS)
+    sync_rows(table, changed, 2.0, DRAIN_START_MS)
     assert row.leaving == {LeavingSource.DRAIN_RECORD}
