--- a/measure/backend_choice.py
+++ b/measure/backend_choice.py
@@ -7,9 +7,13 @@
 from dataclasses import dataclass, field
 from typing import Final, NamedTuple
 
-from greengagepoint.balancing.choice import choose, finished, started
+from greengagepoint.balancing.choice import (
+    choose,
+    record_request_end,
+    record_request_start,
+)
 from greengagepoint.balancing.policies import POLICIES
-from greengagepoint.balancing.reports import report
+from greengagepoint.balancing.reports import record_load_report
 from greengagepoint.balancing.rows import sync_rows
 from greengagepoint.balancing.system import run as run_balancing
 from greengagepoint.balancing.tables import BackendRow, BackendTable, Load, Outcome
@@ -236,7 +240,7 @@
         """Take shared reports in."""
         for table in self.tables:
             for row in table.rows.values():
-                report(row, loads[row.name], now, POLL_SECONDS / 2)
+                record_load_report(row, loads[row.name], now, POLL_SECONDS / 2)
 
     def on_arrive(self, now: float, arrival: Arrival) -> None:
         """Choose a server for a request and queue it there."""
@@ -251,7 +255,7 @@
         if row.in_flight >= open_before:
             cost = CONNECTION_SECONDS
             self.opened += 1
-        started(row, now)
+        record_request_start(row, now)
         server.connections[arrival.host] = max(open_before, row.in_flight)
         if server.number < self.scenario.failing:
             self.failed += 1
@@ -261,7 +265,7 @@
 
     def on_refuse(self, now: float, row: BackendRow) -> None:
         """Let a host see that its request was refused."""
-        finished(row, Outcome.REFUSED, 0.001, now)
+        record_request_end(row, Outcome.REFUSED, 0.001, now)
 
     def on_reach(self, now: float, detail: tuple[Arrival, BackendRow]) -> None:
         """Take a request into a slot or the queue."""
@@ -284,9 +288,9 @@
         server = self.servers[row.name]
         server.busy -= 1
         latency = now - arrival.at
-        finished(row, Outcome.ANSWERED, latency, now)
+        record_request_end(row, Outcome.ANSWERED, latency, now)
         if self.scenario.header:
-            report(row, server.load(self.scenario), now)
+            record_load_report(row, server.load(self.scenario), now)
         if arrival.at >= WARM_UP_SECONDS:
             self.latencies.append(latency)
         if server.queue:
--- a/measure/load_sharing.py
+++ b/measure/load_sharing.py
@@ -8,14 +8,14 @@
 import msgspec
 
 from greengagepoint.balancing import sharing
-from greengagepoint.balancing.choice import finished, started
+from greengagepoint.balancing.choice import record_request_end, record_request_start
 from greengagepoint.balancing.messages import LoadReports
-from greengagepoint.balancing.reports import report
+from greengagepoint.balancing.reports import record_load_report
 from greengagepoint.balancing.rows import sync_rows
 from greengagepoint.balancing.shared_reports import (
+    apply_shared_reports,
     reports_to_send,
-    rows_to_ask,
-    take_reports,
+    rows_to_poll,
 )
 from greengagepoint.balancing.sharing import SharingTable
 from greengagepoint.balancing.tables import BackendTable, Load, Outcome
@@ -73,8 +73,8 @@
     def use_all(self, now: float) -> None:
         """Send a request to a server of each pool, without a load header."""
         for pool in self.table.pools.values():
-            started(pool.rows[0], now)
-            finished(pool.rows[0], Outcome.ANSWERED, 0.05, now)
+            record_request_start(pool.rows[0], now)
+            record_request_end(pool.rows[0], Outcome.ANSWERED, 0.05, now)
 
 
 def run() -> list[Figure]:
@@ -108,7 +108,7 @@
             due, sent = _step(host, records, identities, now)
             processor += (time.process_time() - begun) * counting
             for row in due:
-                report(row, Load(draw.randrange(10), 10), now)
+                record_load_report(row, Load(draw.randrange(10), 10), now)
             outgoing += [(host.name, *one) for one in sent]
             asks += len(due) * counting
         for sender, receiver, message in outgoing:
@@ -130,11 +130,11 @@
     sent: list[tuple[str, object]] = []
     if now % 1.0 == 0:
         used = sharing.used_pools(host.table, now)
-        wants = sharing.wants_to_send(
+        wants = sharing.subscriptions_to_send(
             host.sharing, used, records, identities, host.name, now
         )
         sent += wants.items()
-    due = rows_to_ask(host.sharing, host.table, now)
+    due = rows_to_poll(host.sharing, host.table, now)
     sent += reports_to_send(host.sharing, host.table, host.name, now).items()
     return due, sent
 
@@ -142,9 +142,9 @@
 def _deliver(host: Host, sender: str, message: object, now: float) -> None:
     """Let a host take a message in."""
     if isinstance(message, LoadReports):
-        take_reports(host.table, message, now)
+        apply_shared_reports(host.table, message, now)
     else:
-        sharing.note_wanted(host.sharing, sender, message, now)
+        sharing.record_subscription(host.sharing, sender, message, now)
 
 
 def _ages(hosts: dict[str, Host], now: float) -> list[float]:
--- a/packages/core/greengagepoint/balancing/choice.py
+++ b/packages/core/greengagepoint/balancing/choice.py
@@ -47,7 +47,9 @@
     rows = [row for row in usable if row.ejected_until is None] or usable
     if not rows:
         return None
-    healthy = [row for row in rows if row.failures_in_row < CONSECUTIVE_FAILURES_MAX]
+    healthy = [
+        row for row in rows if row.consecutive_failures < CONSECUTIVE_FAILURES_MAX
+    ]
     if not healthy and not _try_start_probe(pool, now):
         return None
     return policy(healthy or rows, pool, now, random)
@@ -79,7 +81,7 @@
     return row.in_flight + load_from_peers(row, now) < row.connections
 
 
-def started(row: BackendRow, now: float) -> None:
+def record_request_start(row: BackendRow, now: float) -> None:
     """Record a request as in flight; call once before its first byte is sent."""
     if not row.pool.active:
         row.pool.active = True
@@ -91,10 +93,10 @@
     row.drained_event_emitted = False
 
 
-def finished(
+def record_request_end(
     row: BackendRow, outcome: Outcome, latency_seconds: float, now: float
 ) -> None:
-    """Record the outcome of a request; call once for each ``started``.
+    """Record the outcome of a request; call once for each ``record_request_start``.
 
     ``latency_seconds`` is the time to the first byte of the answer, so that a long
     download does not count as latency. A cancelled request is no evidence of the
@@ -106,7 +108,7 @@
     if outcome in FAILURE_OUTCOMES:
         _count_failure(row)
         return
-    row.failures_in_row = 0
+    row.consecutive_failures = 0
     row.failure_rate -= FAILURE_WEIGHT * row.failure_rate
     shed = outcome is Outcome.SHED
     shedding.record_outcome(row.pool, now, shed=shed)
@@ -123,10 +125,10 @@
 def _count_failure(row: BackendRow) -> None:
     """Record a failure, which also closes the request's connection."""
     row.warm_connections = max(row.in_flight, row.warm_connections - 1)
-    row.failures_in_row += 1
+    row.consecutive_failures += 1
     row.failure_rate += FAILURE_WEIGHT * (1.0 - row.failure_rate)
     if (
-        row.failures_in_row >= CONSECUTIVE_FAILURES_MAX
+        row.consecutive_failures >= CONSECUTIVE_FAILURES_MAX
         or row.failure_rate > FAILURE_RATE_MAX
     ):
-        row.ejection_wanted = True
+        row.ejection_pending = True
--- a/packages/core/greengagepoint/balancing/estimate.py
+++ b/packages/core/greengagepoint/balancing/estimate.py
@@ -69,4 +69,4 @@
         latency = row.latency_seconds or LATENCY_ASSUMED_SECONDS
         value += CONNECTION_SECONDS / max(latency, LATENCY_FLOOR_SECONDS)
     value /= 1.0 - min(0.9, row.failure_rate)
-    return value * EJECTION_PENDING_FACTOR if row.ejection_wanted else value
+    return value * EJECTION_PENDING_FACTOR if row.ejection_pending else value
--- a/packages/core/greengagepoint/balancing/listed.py
+++ b/packages/core/greengagepoint/balancing/listed.py
@@ -21,7 +21,7 @@
 REPORT_EXPIRY_SECONDS: Final = 35.0
 
 
-class Heard(NamedTuple):
+class LeavingNames(NamedTuple):
     """Leaving names from one reader of the list; ``at`` is in monotonic seconds."""
 
     names: frozenset[str]
@@ -32,7 +32,7 @@
 class ListedTable:
     """Names that the host list marks as leaving, by the host that read it."""
 
-    heard: dict[str, Heard] = field(default_factory=dict)
+    by_reader: dict[str, LeavingNames] = field(default_factory=dict)
     read_at: float = float("-inf")
     sent_at: float = float("-inf")
     entries: int = 0
@@ -60,13 +60,13 @@
     return True
 
 
-def note_read(
+def record_read(
     table: ListedTable, own_name: str, entries: int, names: frozenset[str], now: float
 ) -> bool:
     """Record a read of the list; return True if it must be sent to peers."""
-    previous = table.heard.get(own_name)
+    previous = table.by_reader.get(own_name)
     table.entries = entries
-    table.heard[own_name] = Heard(names, now)
+    table.by_reader[own_name] = LeavingNames(names, now)
     changed = previous is None or previous.names != names
     if changed or now - table.sent_at >= RESEND_INTERVAL_SECONDS:
         table.sent_at = now
@@ -78,18 +78,20 @@
     """Drop expired reads and mark the servers that any reader lists as leaving."""
     expired = [
         name
-        for name, row in table.heard.items()
+        for name, row in table.by_reader.items()
         if now - row.at > REPORT_EXPIRY_SECONDS
     ]
     for name in expired:
-        del table.heard[name]
+        del table.by_reader[name]
     names: frozenset[str] = frozenset()
-    for row in table.heard.values():
+    for row in table.by_reader.values():
         names |= row.names
     set_listed_leaving(backends, names)
 
 
-def known_names(backends: BackendTable, leaving: Sequence[str]) -> frozenset[str]:
+def leaving_backend_servers(
+    backends: BackendTable, leaving: Sequence[str]
+) -> frozenset[str]:
     """Return the leaving names that belong to backend servers."""
     servers = {row.name for row in backends.rows.values()}
     return servers.intersection(leaving)
--- a/packages/core/greengagepoint/balancing/reports.py
+++ b/packages/core/greengagepoint/balancing/reports.py
@@ -49,7 +49,7 @@
         raise InvalidLoadError("the load report has a count out of range")
 
 
-def report(
+def record_load_report(
     row: BackendRow,
     load: Load,
     now: float,
--- a/packages/core/greengagepoint/balancing/shared_reports.py
+++ b/packages/core/greengagepoint/balancing/shared_reports.py
@@ -3,7 +3,11 @@
 from typing import Final
 
 from greengagepoint.balancing.messages import LoadReports, PoolLoad, ServerLoad
-from greengagepoint.balancing.reports import InvalidLoadError, check_load, report
+from greengagepoint.balancing.reports import (
+    InvalidLoadError,
+    check_load,
+    record_load_report,
+)
 from greengagepoint.balancing.sharing import (
     POLL_INTERVAL_SECONDS,
     POOLS_PER_MESSAGE_MAX,
@@ -24,7 +28,7 @@
 SUBSCRIBERS_AT_FULL_RATE: Final = 16
 
 
-def rows_to_ask(
+def rows_to_poll(
     sharing: SharingTable, table: BackendTable, now: float
 ) -> list[BackendRow]:
     """Return the subscribed rows without a recent direct report and mark them polled.
@@ -87,7 +91,7 @@
     }
 
 
-def take_reports(
+def apply_shared_reports(
     table: BackendTable, message: LoadReports, now: float
 ) -> list[BackendRow]:
     """Apply a peer's load reports; return the rows whose report is out of range."""
@@ -103,7 +107,7 @@
             except InvalidLoadError:
                 invalid.append(row)
                 continue
-            report(row, load, now, server.age_ms / 1000, direct=False)
+            record_load_report(row, load, now, server.age_ms / 1000, direct=False)
     return invalid
 
 
--- a/packages/core/greengagepoint/balancing/sharing.py
+++ b/packages/core/greengagepoint/balancing/sharing.py
@@ -93,7 +93,7 @@
     )
 
 
-def wants_to_send(
+def subscriptions_to_send(
     sharing: SharingTable,
     pools_in_use: Iterable[PoolKey],
     configuration: Configuration,
@@ -131,7 +131,7 @@
     return messages
 
 
-def note_wanted(
+def record_subscription(
     sharing: SharingTable, sender: str, message: LoadWanted, now: float
 ) -> None:
     """Record or renew a peer's subscription to the load of some pools."""
--- a/packages/core/greengagepoint/balancing/system.py
+++ b/packages/core/greengagepoint/balancing/system.py
@@ -57,7 +57,7 @@
     time that control may use, mostly for sites to which this host sends no requests.
     """
     busy = row.in_flight or row.warm_connections or row.peak_in_flight
-    failing = row.ejection_wanted or row.ejected_until is not None
+    failing = row.ejection_pending or row.ejected_until is not None
     return not busy and not failing
 
 
@@ -77,7 +77,7 @@
     """Eject servers pending ejection, highest failure rate first, up to the limit."""
     not_leaving = [row for row in pool.rows if not row.leaving]
     ejected = sum(row.ejected_until is not None for row in not_leaving)
-    pending = [row for row in not_leaving if row.ejection_wanted]
+    pending = [row for row in not_leaving if row.ejection_pending]
     pending.sort(key=lambda row: -row.failure_rate)
     for row in pending[: max(0, ejected_max(len(not_leaving)) - ejected)]:
         if now - row.readmitted_at > EJECTION_COUNT_RESET_SECONDS:
@@ -85,8 +85,8 @@
         row.ejections += 1
         seconds = min(EJECTION_MAX_SECONDS, EJECTION_SECONDS * row.ejections)
         row.ejected_until = now + seconds
-        row.ejection_wanted = False
-        detail = f"{row.failures_in_row} failures in a row; {seconds:.0f} s"
+        row.ejection_pending = False
+        detail = f"{row.consecutive_failures} failures in a row; {seconds:.0f} s"
         events.append(_event(Event.BACKEND_SERVER_EJECTED, row, detail))
 
 
@@ -99,7 +99,7 @@
         return
     row.ejected_until = None
     row.readmitted_at = now
-    row.failures_in_row = 0
+    row.consecutive_failures = 0
     row.failure_rate = 0.0
     row.slow_start_from = now
     events.append(_event(Event.BACKEND_SERVER_READMITTED, row, "slow start"))
--- a/packages/core/greengagepoint/balancing/tables.py
+++ b/packages/core/greengagepoint/balancing/tables.py
@@ -82,12 +82,12 @@
     reported_directly: bool = False
     own_in_flight_at_report: int = 0
     trust: float = 1.0
-    failures_in_row: int = 0
+    consecutive_failures: int = 0
     failure_rate: float = 0.0
     ejected_until: float | None = None
     ejections: int = 0
     readmitted_at: float = float("-inf")
-    ejection_wanted: bool = False
+    ejection_pending: bool = False
     slow_start_from: float | None = None
     leaving: set[LeavingSource] = field(default_factory=set)
     leaving_signal_at: float = 0.0
--- a/packages/core/tests/test_balancing_choice.py
+++ b/packages/core/tests/test_balancing_choice.py
@@ -4,12 +4,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from greengagepoint.balancing.choice import choose, finished, started
+from greengagepoint.balancing.choice import (
+    choose,
+    record_request_end,
+    record_request_start,
+)
 from greengagepoint.balancing.reports import (
     InvalidLoadError,
     contradicts_local_state,
     parse_load,
-    report,
+    record_load_report,
 )
 from greengagepoint.balancing.rows import set_listed_leaving, sync_rows
 from greengagepoint.balancing.system import ejected_max, run
@@ -58,8 +62,8 @@
 def answer_requests(rows, count, latency=0.01):
     for row in rows:
         for _ in range(count):
-            started(row, 0.0)
-            finished(row, Outcome.ANSWERED, latency, 0.0)
+            record_request_start(row, 0.0)
+            record_request_end(row, Outcome.ANSWERED, latency, 0.0)
 
 
 def leave_by_record(table, rows):
@@ -69,7 +73,7 @@
 
 
 def leave_by_signal(table, rows):
-    report(rows[0], Load(0, 10, 0, leaving=True), 1.0)
+    record_load_report(rows[0], Load(0, 10, 0, leaving=True), 1.0)
 
 
 def leave_by_removal(table, rows):
@@ -101,15 +105,15 @@
     """
     table, rows = make_table()
     leaving_server = rows[0]
-    started(leaving_server, 0.0)
+    record_request_start(leaving_server, 0.0)
     for row in rows[1:]:
         for _ in range(5):
-            started(row, 0.0)
+            record_request_start(row, 0.0)
     assert chosen_names(table) == {"b0"}
     leave(table, rows)
     assert chosen_names(table, 1.0) <= {"b1", "b2", "b3"}
     assert [item.event for item in run(table, 1.0)] == [Event.BACKEND_SERVER_LEAVING]
-    finished(leaving_server, Outcome.ANSWERED, 0.01, 2.0)
+    record_request_end(leaving_server, Outcome.ANSWERED, 0.01, 2.0)
     assert Event.BACKEND_SERVER_DRAINED in [item.event for item in run(table, 2.0)]
     assert run(table, 2.5) == []
 
@@ -121,9 +125,9 @@
     """
     table, rows = make_table()
     leave_by_signal(table, rows)
-    report(rows[0], Load(0, 10), 5.0)
+    record_load_report(rows[0], Load(0, 10), 5.0)
     assert "b0" not in chosen_names(table, 5.0)
-    report(rows[0], Load(0, 10), 32.0)
+    record_load_report(rows[0], Load(0, 10), 32.0)
     assert "b0" in chosen_names(table, 32.0)
 
 
@@ -142,17 +146,17 @@
     table, rows = make_table(count=2)
     answer_requests(rows[:1], 1, 0.005)
     assert chosen_names(table) == {"b0"}
-    started(rows[0], 0.0)
-    started(rows[0], 0.0)
+    record_request_start(rows[0], 0.0)
+    record_request_start(rows[0], 0.0)
     assert chosen_names(table) == {"b1"}
 
 
 def test_connection_limit_and_exclude_are_respected():
     table, rows = make_table(count=2, connections=1)
-    started(rows[0], 0.0)
+    record_request_start(rows[0], 0.0)
     assert chosen_names(table) == {"b1"}
     assert chosen_names(table, exclude=frozenset({"b1"})) == set()
-    report(rows[1], Load(1, 10), 0.0)
+    record_load_report(rows[1], Load(1, 10), 0.0)
     assert chosen_names(table) == set()
     assert choose(table, "records", "s", 0.0, Random(1)) is None
 
@@ -169,8 +173,8 @@
     for row in rows:
         row.warm_connections = 5
         if row.name != "b3":
-            started(row, 100.0)
-            started(row, 100.0)
+            record_request_start(row, 100.0)
+            record_request_start(row, 100.0)
     assert "b3" not in chosen_names(table, 100.0)
     assert chosen_names(table, 110.0) == {"b3"}
 
@@ -184,8 +188,8 @@
     """
     table, rows = make_table()
     for _ in range(5):
-        started(rows[0], 0.0)
-        finished(rows[0], Outcome.REFUSED, 0.0, 0.0)
+        record_request_start(rows[0], 0.0)
+        record_request_end(rows[0], Outcome.REFUSED, 0.0, 0.0)
     assert "b0" not in chosen_names(table)
     events = run(table, 0.0)
     assert [item.event for item in events] == [Event.BACKEND_SERVER_EJECTED]
@@ -201,8 +205,8 @@
 
     def eject(now):
         for _ in range(5):
-            started(rows[0], now)
-            finished(rows[0], Outcome.FAILED, 0.0, now)
+            record_request_start(rows[0], now)
+            record_request_end(rows[0], Outcome.FAILED, 0.0, now)
         run(table, now)
         return rows[0].ejected_until
 
@@ -221,15 +225,15 @@
     table, rows = make_table()
     for row in rows:
         for _ in range(5):
-            started(row, 0.0)
-            finished(row, Outcome.REFUSED, 0.0, 0.0)
+            record_request_start(row, 0.0)
+            record_request_end(row, Outcome.REFUSED, 0.0, 0.0)
     run(table, 0.0)
     probes = [choose(table, "booking", "s", 0.1, Random(1)) for _ in range(3)]
     assert [row is not None for row in probes] == [True, False, False]
     assert choose(table, "booking", "s", 1.0, Random(1)) is None
     probed_row = choose(table, "booking", "s", 1.2, Random(1))
-    started(probed_row, 1.2)
-    finished(probed_row, Outcome.ANSWERED, 0.01, 1.3)
+    record_request_start(probed_row, 1.2)
+    record_request_end(probed_row, Outcome.ANSWERED, 0.01, 1.3)
     assert chosen_names(table, 1.3) == {probed_row.name}
 
 
@@ -238,8 +242,8 @@
     table, rows = make_table(count=max(1, count))
     for row in rows:
         for _ in range(data.draw(st.integers(0, 8))):
-            started(row, 0.0)
-            finished(row, Outcome.FAILED, 0.0, 0.0)
+            record_request_start(row, 0.0)
+            record_request_end(row, Outcome.FAILED, 0.0, 0.0)
     for tick in range(5):
         run(table, float(tick))
         ejected = sum(row.ejected_until is not None for row in rows)
@@ -263,7 +267,7 @@
     answer_requests(rows[:1], 16, 0.2 if slow else 0.01)
     answer_requests(rows[1:], 16)
     for _ in range(own):
-        started(rows[0], 0.0)
+        record_request_start(rows[0], 0.0)
     assert contradicts_local_state(rows[0], load) is expected
 
 
@@ -274,9 +278,9 @@
     """
     table, rows = make_table()
     for _ in range(9):
-        started(rows[0], 0.0)
+        record_request_start(rows[0], 0.0)
     for tick in range(3):
-        report(rows[0], Load(0, 10), float(tick))
+        record_load_report(rows[0], Load(0, 10), float(tick))
     assert rows[0].trust < 0.2
     assert [item.event for item in run(table, 3.0)] == [Event.LOAD_REPORT_DISTRUSTED]
     assert run(table, 4.0) == []
@@ -290,9 +294,9 @@
     """
     table, rows = make_table(count=2)
     answer_requests(rows, 1)
-    report(rows[0], Load(8, 10), 10.0)
+    record_load_report(rows[0], Load(8, 10), 10.0)
     assert chosen_names(table, 10.0) == {"b1"}
-    report(rows[0], Load(0, 10), 10.0, age_seconds=3.0)
+    record_load_report(rows[0], Load(0, 10), 10.0, age_seconds=3.0)
     assert rows[0].reported == Load(8, 10)
     assert chosen_names(table, 10.0) == {"b1"}
     assert chosen_names(table, 30.0) == {"b0", "b1"}
@@ -325,8 +329,8 @@
 def test_counts_return_to_zero(outcomes):
     _table, rows = make_table(count=1)
     for _ in outcomes:
-        started(rows[0], 0.0)
+        record_request_start(rows[0], 0.0)
     for outcome in outcomes:
-        finished(rows[0], outcome, 0.01, 0.0)
+        record_request_end(rows[0], outcome, 0.01, 0.0)
     assert rows[0].in_flight == 0
     assert 0.0 <= rows[0].failure_rate <= 1.0
--- a/packages/core/tests/test_balancing_idle_pools.py
+++ b/packages/core/tests/test_balancing_idle_pools.py
@@ -6,10 +6,10 @@
 from greengagepoint.balancing import system
 from greengagepoint.balancing.choice import (
     CONSECUTIVE_FAILURES_MAX,
-    finished,
-    started,
+    record_request_end,
+    record_request_start,
 )
-from greengagepoint.balancing.reports import report
+from greengagepoint.balancing.reports import record_load_report
 from greengagepoint.balancing.rows import set_listed_leaving, sync_rows
 from greengagepoint.balancing.shared_reports import reports_to_send
 from greengagepoint.balancing.sharing import SharingTable, used_pools
@@ -75,17 +75,17 @@
         elif row is None:
             return
         elif action == "start":
-            started(row, now)
+            record_request_start(row, now)
         elif action == "break":
             for _ in range(CONSECUTIVE_FAILURES_MAX):
-                started(row, now)
-                finished(row, Outcome.FAILED, 0.05, now)
+                record_request_start(row, now)
+                record_request_end(row, Outcome.FAILED, 0.05, now)
         elif action in ("answer", "fail"):
             outcome = Outcome.ANSWERED if action == "answer" else Outcome.FAILED
             if row.in_flight:
-                finished(row, outcome, 0.05, now)
+                record_request_end(row, outcome, 0.05, now)
         else:
-            report(row, Load(1, 10, leaving=action == "leave"), now)
+            record_load_report(row, Load(1, 10, leaving=action == "leave"), now)
 
     def tick(self, now: float) -> tuple:
         if not self.skips_idle:
--- a/packages/core/tests/test_balancing_replay.py
+++ b/packages/core/tests/test_balancing_replay.py
@@ -2,8 +2,12 @@
 from pathlib import Path
 from random import Random
 
-from greengagepoint.balancing.choice import choose, finished, started
-from greengagepoint.balancing.reports import report
+from greengagepoint.balancing.choice import (
+    choose,
+    record_request_end,
+    record_request_start,
+)
+from greengagepoint.balancing.reports import record_load_report
 from greengagepoint.balancing.rows import sync_rows
 from greengagepoint.balancing.system import run
 from greengagepoint.balancing.tables import BackendTable, Load, Outcome
@@ -42,15 +46,15 @@
     def step(self, at, op, name="", place=0, outcome="", seconds=0.0, load=None):
         if op == "request":
             row = choose(self.table, "booking", "s", at, self.random)
-            started(row, at)
+            record_request_start(row, at)
             self.open.append(row)
             self.chosen.append((at, row.name))
         elif op == "answer":
-            finished(self.open.pop(place), Outcome(outcome), seconds, at)
+            record_request_end(self.open.pop(place), Outcome(outcome), seconds, at)
         elif op == "report":
-            report(self.row(name), Load(**load), at)
+            record_load_report(self.row(name), Load(**load), at)
         elif op == "signal":
-            report(self.row(name), Load(0, 10, 0, leaving=True), at)
+            record_load_report(self.row(name), Load(0, 10, 0, leaving=True), at)
         elif op == "drain":
             self.drains[name] = Drain(
                 name=name,
--- a/packages/core/tests/test_balancing_sharing.py
+++ b/packages/core/tests/test_balancing_sharing.py
@@ -5,14 +5,18 @@
 from hypothesis import strategies as st
 
 from greengagepoint.balancing import sharing
-from greengagepoint.balancing.choice import choose, finished, started
+from greengagepoint.balancing.choice import (
+    choose,
+    record_request_end,
+    record_request_start,
+)
 from greengagepoint.balancing.messages import LoadReports, PoolLoad, ServerLoad
-from greengagepoint.balancing.reports import report
+from greengagepoint.balancing.reports import record_load_report
 from greengagepoint.balancing.rows import sync_rows
 from greengagepoint.balancing.shared_reports import (
+    apply_shared_reports,
     reports_to_send,
-    rows_to_ask,
-    take_reports,
+    rows_to_poll,
 )
 from greengagepoint.balancing.sharing import SharingTable
 from greengagepoint.balancing.tables import BackendTable, Load, Outcome
@@ -55,13 +59,13 @@
 
     def subscription_messages(self, now):
         used = sharing.used_pools(self.table, now)
-        return sharing.wants_to_send(
+        return sharing.subscriptions_to_send(
             self.sharing, used, CONFIGURATION, HOSTS, self.name, now
         )
 
     def send_request(self, now):
-        started(self.row("b0"), now)
-        finished(self.row("b0"), Outcome.ANSWERED, 0.01, now)
+        record_request_start(self.row("b0"), now)
+        record_request_end(self.row("b0"), Outcome.ANSWERED, 0.01, now)
 
 
 @pytest.fixture
@@ -71,7 +75,9 @@
     for host in hosts.values():
         host.send_request(100.0)
         for receiver, message in host.subscription_messages(100.0).items():
-            sharing.note_wanted(hosts[receiver].sharing, host.name, message, 100.0)
+            sharing.record_subscription(
+                hosts[receiver].sharing, host.name, message, 100.0
+            )
     return hosts
 
 
@@ -106,14 +112,14 @@
 def test_only_subscribed_pools_are_polled_and_reports_in_answers_save_polls(fleet):
     poller = fleet[pollers_of(fleet)[0]]
     other = next(fleet[name] for name in fleet if name not in pollers_of(fleet))
-    assert rows_to_ask(other.sharing, other.table, 100.0) == []
-    due = rows_to_ask(poller.sharing, poller.table, 100.0)
+    assert rows_to_poll(other.sharing, other.table, 100.0) == []
+    due = rows_to_poll(poller.sharing, poller.table, 100.0)
     assert [row.name for row in due] == ["b0", "b1"]
-    assert rows_to_ask(poller.sharing, poller.table, 100.9) == []
-    report(poller.row("b0"), Load(1, 10), 101.0)
-    due = rows_to_ask(poller.sharing, poller.table, 101.5)
+    assert rows_to_poll(poller.sharing, poller.table, 100.9) == []
+    record_load_report(poller.row("b0"), Load(1, 10), 101.0)
+    due = rows_to_poll(poller.sharing, poller.table, 101.5)
     assert [row.name for row in due] == ["b1"]
-    assert rows_to_ask(poller.sharing, poller.table, 200.0) == []
+    assert rows_to_poll(poller.sharing, poller.table, 200.0) == []
 
 
 def test_leaving_signal_reaches_all_hosts_at_the_next_tick(fleet):
@@ -124,12 +130,12 @@
     """
     poller = fleet[pollers_of(fleet)[0]]
     reports_to_send(poller.sharing, poller.table, poller.name, 100.0)
-    report(poller.row("b0"), Load(0, 10, leaving=True), 100.2)
+    record_load_report(poller.row("b0"), Load(0, 10, leaving=True), 100.2)
     leaving_messages = reports_to_send(poller.sharing, poller.table, poller.name, 100.3)
     assert set(leaving_messages) == set(fleet) - {poller.name}
     for name, message in leaving_messages.items():
         host = fleet[name]
-        assert take_reports(host.table, message, 100.35) == []
+        assert apply_shared_reports(host.table, message, 100.35) == []
         row = choose(host.table, *POOL, 100.35, Random(1))
         assert row.name == "b1"
     repeated_messages = reports_to_send(
@@ -145,9 +151,9 @@
     look new forever.
     """
     first, second = (fleet[name] for name in pollers_of(fleet))
-    report(first.row("b0"), Load(3, 10), 100.0)
+    record_load_report(first.row("b0"), Load(3, 10), 100.0)
     message = reports_to_send(first.sharing, first.table, first.name, 101.0)
-    take_reports(second.table, message[second.name], 101.0)
+    apply_shared_reports(second.table, message[second.name], 101.0)
     assert second.row("b0").reported == Load(3, 10)
     assert second.row("b0").reported_at == pytest.approx(100.0)
     returned_messages = reports_to_send(
@@ -161,7 +167,7 @@
     host = Host("h0")
     servers = (ServerLoad("b0", 5, *counts, False), ServerLoad("x", 5, 1, 1, 1, False))
     message = LoadReports((PoolLoad(*POOL, servers), PoolLoad("x", "y", servers)))
-    assert take_reports(host.table, message, 1.0) == [host.row("b0")]
+    assert apply_shared_reports(host.table, message, 1.0) == [host.row("b0")]
     assert host.row("b0").reported is None
 
 
--- a/packages/node/greengagepoint_node/backends.py
+++ b/packages/node/greengagepoint_node/backends.py
@@ -1,7 +1,11 @@
 """Keep the table of backend servers up to date and report what happens to them."""
 
 from greengagepoint.balancing import rows, system
-from greengagepoint.balancing.reports import InvalidLoadError, parse_load, report
+from greengagepoint.balancing.reports import (
+    InvalidLoadError,
+    parse_load,
+    record_load_report,
+)
 from greengagepoint.balancing.tables import BackendRow, BackendTable
 from greengagepoint.configuration import Configuration
 from greengagepoint.events import Event
@@ -45,4 +49,4 @@
                 Event.LOAD_REPORT_INVALID, backend_server=row.name, detail=str(error)
             )
             return
-        report(row, load, now)
+        record_load_report(row, load, now)
--- a/packages/node/greengagepoint_node/coordinators/listed.py
+++ b/packages/node/greengagepoint_node/coordinators/listed.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Sequence
 
 from greengagepoint.balancing import listed
-from greengagepoint.balancing.listed import Heard, ListedTable
+from greengagepoint.balancing.listed import LeavingNames, ListedTable
 from greengagepoint.balancing.messages import ListedLeaving
 from greengagepoint.balancing.tables import BackendTable
 from greengagepoint.errors import StoreError
@@ -60,7 +60,7 @@
     def on_listed(self, sender: str, message: ListedLeaving) -> None:
         """Take in what a reader says."""
         now = self.context.clock.monotonic()
-        self.table.heard[sender] = Heard(frozenset(message.names), now)
+        self.table.by_reader[sender] = LeavingNames(frozenset(message.names), now)
         listed.apply(self.table, self.backends, now)
 
     async def async_read(self) -> None:
@@ -72,9 +72,9 @@
             return
         now = self.context.clock.monotonic()
         leaving = [host.name for host in hosts if host.leaving]
-        names = listed.known_names(self.backends, leaving)
+        names = listed.leaving_backend_servers(self.backends, leaving)
         own_name = self.context.host.name
-        if listed.note_read(self.table, own_name, len(hosts), names, now):
+        if listed.record_read(self.table, own_name, len(hosts), names, now):
             self._tell(names)
         listed.apply(self.table, self.backends, now)
 
--- a/packages/node/greengagepoint_node/coordinators/load.py
+++ b/packages/node/greengagepoint_node/coordinators/load.py
@@ -12,12 +12,12 @@
     LOAD_BYTES_MAX,
     InvalidLoadError,
     parse_load,
-    report,
+    record_load_report,
 )
 from greengagepoint.balancing.shared_reports import (
+    apply_shared_reports,
     reports_to_send,
-    rows_to_ask,
-    take_reports,
+    rows_to_poll,
 )
 from greengagepoint.balancing.sharing import SharingTable
 from greengagepoint.balancing.tables import BackendRow, BackendTable
@@ -82,7 +82,7 @@
         if now - self.wants_at >= WANTS_SECONDS:
             self.wants_at = now
             self._send_wants(now)
-        for row in rows_to_ask(self.sharing, self.table, now):
+        for row in rows_to_poll(self.sharing, self.table, now):
             ask = asyncio.create_task(self.async_ask(row))
             self.asks.add(ask)
             ask.add_done_callback(self.asks.discard)
@@ -94,12 +94,12 @@
     def on_wanted(self, sender: str, message: LoadWanted) -> None:
         """Remember who wants the load of which pools."""
         now = self.context.clock.monotonic()
-        sharing.note_wanted(self.sharing, sender, message, now)
+        sharing.record_subscription(self.sharing, sender, message, now)
 
     def on_reports(self, sender: str, message: LoadReports) -> None:
         """Take in reports of another host."""
         now = self.context.clock.monotonic()
-        for row in take_reports(self.table, message, now):
+        for row in apply_shared_reports(self.table, message, now):
             self._tell_invalid(row, f"a count out of range, from host {sender}")
 
     async def async_ask(self, row: BackendRow) -> None:
@@ -115,7 +115,7 @@
             except (aiohttp.ClientError, TimeoutError, OSError):
                 return
         self.invalid.discard(row.address)
-        report(row, load, self.context.clock.monotonic())
+        record_load_report(row, load, self.context.clock.monotonic())
 
     async def _async_read(self, row: BackendRow) -> bytes:
         """Return the answer of the load endpoint, cut where it is too long."""
@@ -133,7 +133,7 @@
 
     def _send_wants(self, now: float) -> None:
         """Tell the askers of the pools in use that their load is wanted."""
-        messages = sharing.wants_to_send(
+        messages = sharing.subscriptions_to_send(
             self.sharing,
             sharing.used_pools(self.table, now),
             self.configuration(),
--- a/packages/node/greengagepoint_node/proxy/placement.py
+++ b/packages/node/greengagepoint_node/proxy/placement.py
@@ -84,7 +84,7 @@
         return
     placement.open = False
     now = parts.context.clock.monotonic()
-    choice.finished(placement.row, outcome, latency_seconds, now)
+    choice.record_request_end(placement.row, outcome, latency_seconds, now)
     answered = outcome is Outcome.ANSWERED
     flights.end(parts.flights, placement.flight, now, answered=answered)
     if run_over is None:
@@ -166,7 +166,7 @@
     if row is None:
         parts.caps.release(permit)
         return None
-    choice.started(row, now)
+    choice.record_request_start(row, now)
     flight = flights.begin(parts.flights, row.site, row.name, call.service.name, now)
     return Placement(permit, row, now, flight)
 
--- a/packages/node/tests/hostile.py
+++ b/packages/node/tests/hostile.py
@@ -202,8 +202,8 @@
 def forgive(daemon: Daemon) -> None:
     """Forget the failures of backend servers, so that cases don't mix."""
     for row in daemon.backends.table.rows.values():
-        row.failures_in_row = 0
+        row.consecutive_failures = 0
         row.failure_rate = 0.0
         row.ejected_until = None
-        row.ejection_wanted = False
+        row.ejection_pending = False
         row.slow_start_from = None
--- a/packages/node/tests/test_load_coordinator.py
+++ b/packages/node/tests/test_load_coordinator.py
@@ -7,7 +7,7 @@
 import pytest
 from aiohttp import web
 
-from greengagepoint.balancing.choice import finished, started
+from greengagepoint.balancing.choice import record_request_end, record_request_start
 from greengagepoint.balancing.messages import LoadWanted, PoolName
 from greengagepoint.balancing.rows import sync_rows
 from greengagepoint.balancing.tables import BackendTable, LeavingSource, Load, Outcome
@@ -86,8 +86,8 @@
 
     def use(self):
         for part in self.parts:
-            started(self.row(part), self.clock.now)
-            finished(self.row(part), Outcome.ANSWERED, 0.01, self.clock.now)
+            record_request_start(self.row(part), self.clock.now)
+            record_request_end(self.row(part), Outcome.ANSWERED, 0.01, self.clock.now)
 
 
 @pytest.fixture
