--- a/packages/core/greengagepoint/accounts/__init__.py
+++ b/packages/core/greengagepoint/accounts/__init__.py
@@ -1,1 +1,1 @@
-"""Client accounts: who may ask, how much, and how sure a host is of it."""
+"""Client accounts: their keys and rate limits, and configuration freshness."""
--- a/packages/core/greengagepoint/accounts/bounds.py
+++ b/packages/core/greengagepoint/accounts/bounds.py
@@ -1,18 +1,19 @@
-"""How closely all hosts together have to keep the limits of accounts."""
+"""Bounds on how far all hosts together may exceed the limits of accounts."""
 
 from typing import Final, NamedTuple
 
 from greengagepoint.accounts.tables import Account
 
-# The rest is for what hosts admit before they are told otherwise, and for hosts that
-# are told nothing.
-GIVEN_SHARE: Final = 0.82
+# The rest covers what hosts admit before they receive a lower limit, and what hosts
+# admit that receive no limits at all.
+GRANTED_FRACTION: Final = 0.82
 
 
 class LimitBounds(NamedTuple):
-    """In any ``window_seconds`` an account may run so much more than its limit.
+    """How far an account may exceed its limit in any ``window_seconds``.
 
-    That is ``overshoot`` of what its rate and burst allow, and ``slack`` requests.
+    ``overshoot`` is a fraction of what its rate and burst allow, ``slack`` a number of
+    requests on top.
     """
 
     window_seconds: float = 5.0
@@ -20,23 +21,23 @@
     slack: float = 0.0
 
     def most(self, account: Account) -> float:
-        """Return the most requests of an account in a window."""
+        """Return the maximum number of requests of an account in a window."""
         rate, burst = account.requests_per_second, account.burst
         allowed = rate * self.window_seconds + burst
         return allowed * (1 + self.overshoot) + self.slack
 
     def rate(self, account: Account) -> float:
-        """Return the requests a second that are given out, beside the burst.
+        """Return the requests per second that are granted in addition to the burst.
 
-        Of a small account the slack allows several times its rate; refused, these
-        requests would be lost for nothing.
+        For a small account the slack allows several times its rate; rejecting requests
+        within it would cost callers without need.
         """
-        given = GIVEN_SHARE * self.most(account) - account.burst
-        return max(0.0, given / self.window_seconds)
+        granted = GRANTED_FRACTION * self.most(account) - account.burst
+        return max(0.0, granted / self.window_seconds)
 
     def reserve(self, account: Account) -> float:
-        """Return the requests in a window that are not given out."""
-        return (1 - GIVEN_SHARE) * self.most(account)
+        """Return the requests in a window that are not granted."""
+        return (1 - GRANTED_FRACTION) * self.most(account)
 
 
 STRICT: Final = LimitBounds()
--- a/packages/core/greengagepoint/accounts/certainty.py
+++ b/packages/core/greengagepoint/accounts/certainty.py
@@ -1,85 +1,85 @@
-"""Know as of when a host's configuration was surely the newest.
+"""Track how fresh a host's configuration is, with a bound on its staleness.
 
-A key that is taken away must work nowhere after a bounded time, also at a host that
-hears of nothing. So a host serves keyed requests only while the moment at which its
-configuration was surely the newest is not too long ago.
+A revoked key must stop working everywhere within a bounded time, even on a host that
+is cut off from the store and its peers. A host therefore serves keyed requests only
+while its configuration was verified as the newest recently enough.
 
-All times are of one host's steady clock, which counts while the host is suspended. The
-store's answer holds as of the moment at which it was asked for, and a peer's proof as
-of the moment at which the peer was asked, less the proof's age there: both happened
-before the answer was made. So however long an answer is under way, and however long
-either host stands still, a host only takes itself for less sure than it is.
+All times are readings of one host's monotonic clock, which also counts while the host
+is suspended. A store's answer is valid as of the time the request was sent, and a
+peer's proof as of the time the peer was asked, less the age that the peer reports: both
+are earlier than the moment the answer was produced. Network delays and paused hosts can
+thus only make a configuration look older than it is, never fresher.
 
-A configuration is named by the store's revision of its last change.
+A configuration is identified by the store revision of its last change.
 """
 
 from typing import Final, NamedTuple
 
 NEVER: Final = float("-inf")
-# Steady clocks of hosts run apart by far less over a few seconds.
+# Monotonic clocks of two hosts drift apart by far less than this in a few seconds.
 CLOCK_DRIFT_SECONDS: Final = 0.05
 
 
 class Proof(NamedTuple):
-    """A configuration was the newest ``age`` seconds before this was written."""
+    """Proof that a revision was the newest ``age`` seconds before it was written."""
 
     revision: int
     age: float
 
 
 class Certainty:
-    """The newest configuration known, the one in force, and as of when it is proved."""
+    """Track the newest and the active configuration, and when each was verified."""
 
     def __init__(self) -> None:
-        self.in_force = 0
+        self.active_revision = 0
         self.newest = 0
-        self.newest_at = NEVER
+        self.newest_verified_at = NEVER
         self.certain_at = NEVER
 
     def note(self, revision: int, at: float) -> None:
-        """Take in that a configuration was the newest at a time.
+        """Record that a revision was the newest at a time.
 
-        One that is known and not in force yet proves nothing of the one that is.
+        A newer revision that is not active yet proves nothing about the active one.
         """
-        if revision <= self.in_force:
+        if revision <= self.active_revision:
             self.certain_at = max(self.certain_at, at)
         if revision > self.newest:
-            self.newest, self.newest_at = revision, at
+            self.newest, self.newest_verified_at = revision, at
         elif revision == self.newest:
-            self.newest_at = max(self.newest_at, at)
-        self._settle()
+            self.newest_verified_at = max(self.newest_verified_at, at)
+        self._apply_newest()
 
     def note_complete(self, asked_at: float) -> None:
-        """Take in that the store, asked at a time, has told everything."""
+        """Record that the store, asked at a time, has sent every change."""
         self.note(self.newest, asked_at)
 
     def note_in_force(self, revision: int) -> None:
-        """Take in that a configuration has come into force here."""
-        self.in_force = max(self.in_force, revision)
-        self._settle()
+        """Record that a revision became active on this host."""
+        self.active_revision = max(self.active_revision, revision)
+        self._apply_newest()
 
     def take(self, proof: Proof, asked_at: float) -> None:
-        """Take in a peer's proof, which was asked for at a time of this host."""
+        """Apply a peer's proof that this host asked for at a time of its own clock."""
         self.note(proof.revision, asked_at - proof.age)
 
     def proof(self, now: float) -> Proof | None:
-        """Return what this host can prove to a peer, None while it is sure of nothing.
+        """Return a proof for the active configuration to send to a peer.
 
-        It is of the configuration in force here.
+        Return None while this host has not verified it at all.
         """
         if self.certain_at == NEVER:
             return None
-        return Proof(self.in_force, max(0.0, now - self.certain_at))
+        return Proof(self.active_revision, max(0.0, now - self.certain_at))
 
     def age(self, now: float) -> float:
-        """Return for how many seconds the configuration in force is unproved."""
+        """Return the seconds since the active configuration was last verified."""
         return now - self.certain_at
 
     def holds(self, now: float, seconds_max: float) -> bool:
-        """Tell whether no key of the one in force was taken away longer ago."""
+        """Return True if the active configuration is at most ``seconds_max`` stale."""
         return self.age(now) <= seconds_max - CLOCK_DRIFT_SECONDS
 
-    def _settle(self) -> None:
-        """Count what is known of the newest for the one in force where they agree."""
-        if self.in_force >= self.newest:
-            self.certain_at = max(self.certain_at, self.newest_at)
+    def _apply_newest(self) -> None:
+        """Apply the newest revision's verification once that revision is active."""
+        if self.active_revision >= self.newest:
+            self.certain_at = max(self.certain_at, self.newest_verified_at)
--- a/packages/core/greengagepoint/accounts/ledger.py
+++ b/packages/core/greengagepoint/accounts/ledger.py
@@ -1,11 +1,11 @@
-"""Add up what all hosts admit of each account, and say which share may go on.
-
-Load answered: one account asks several times its limit through all hosts at once, or
-its limit is lowered below what it asks, beside accounts so small that a host sees one
-of their requests a minute. An even part of a small account's limit is less than one
-request, so no host may be held to its part while the whole is within the limit: all is
-admitted until the sum nears the limit, and from then on each request with the same
-probability, whichever host it comes to.
+"""Sum up each account's usage over all hosts, and return the share to admit.
+
+Handles one account that sends several times its limit through all hosts at once, or
+whose limit is lowered below its request rate, next to accounts so small that a host
+sees one of their requests a minute. An even split of a small account's limit is less
+than one request per host, so hosts must not be held to a fixed part of it while the
+account as a whole is within its limit. Everything is admitted until the sum nears the
+limit; from then on each request is admitted with the same probability on every host.
 """
 
 import math
@@ -19,72 +19,78 @@
 from greengagepoint.accounts.rates import Rate
 from greengagepoint.accounts.tables import Account
 
-# What is asked of an account is averaged over this; a surge shows within half of it.
-ASKED_SECONDS: Final = 0.5
-# What the bucket holds beyond the rate is given out over this.
-LEVEL_SECONDS: Final = 1.0
-# A host that has not reported for so long goes on with its part of the limit.
+# Averaging time of an account's request rate; a surge shows within half of it.
+ASKED_AVERAGE_SECONDS: Final = 0.5
+# Tokens in the bucket are granted over this time, on top of the rate.
+TOKEN_GRANT_SECONDS: Final = 1.0
+# A host that has not reported for this long applies its part of the limit locally.
 SILENT_SECONDS: Final = 1.0
-# Hosts that were over the limit for longer had been told so before they fell silent.
-HELD_SECONDS: Final = 2 * SILENT_SECONDS
-# After which nothing is known of what was admitted meanwhile.
-UNINFORMED_SECONDS: Final = 1.5
+# If an account has been over its limit for longer than this, its silent hosts knew of
+# that before they fell silent.
+LIMIT_KNOWN_SECONDS: Final = 2 * SILENT_SECONDS
+# After a gap between reports of this length, what was admitted meanwhile is unknown.
+REPORT_GAP_SECONDS: Final = 1.5
 RATE_MIN: Final = 1e-3
 PART_MIN: Final = 1e-3
-PART_SECONDS: Final = 2.0
-# Requests a second below which an account is small: they tell too little of where they
-# are asked, and no host that is cut off gets enough of them to matter.
+PART_AVERAGE_SECONDS: Final = 2.0
+# Accounts with a lower limit, in requests per second, are small. They have too few
+# requests to estimate how these are spread over hosts, and no host that is cut off
+# receives enough of them to matter.
 SMALL_RATE: Final = 10.0
 
 
 @dataclass(slots=True)
-class AccountUse:
-    """What is known of one account; ``level`` is what its bucket holds.
+class AccountUsage:
+    """The usage of one account; ``level`` is the token count of its bucket.
 
-    ``heard_part`` is the part of the limit that hosts use which are heard of; the rest
-    is left to those that are not. ``over_since`` is infinite while all is admitted.
+    ``reporting_part`` is the part of the limit that hosts use which still report; the
+    rest is reserved for silent hosts. ``over_since`` is infinite while all requests are
+    admitted.
     """
 
     level: float
     filled_at: float
     full_rate: float
-    heard_part: float = 1.0
+    reporting_part: float = 1.0
     over_since: float = math.inf
-    asked: Rate = field(default_factory=lambda: Rate(ASKED_SECONDS))
-    asked_of_late: Rate = field(default_factory=lambda: Rate(PART_SECONDS))
+    asked: Rate = field(default_factory=lambda: Rate(ASKED_AVERAGE_SECONDS))
+    asked_recently: Rate = field(default_factory=lambda: Rate(PART_AVERAGE_SECONDS))
 
     def fill(self, account: Account, now: float) -> None:
-        """Add what the rate has given since the last time, up to the burst."""
+        """Add the tokens gained since the last call, up to the burst."""
         gained = self.rate * max(0.0, now - self.filled_at)
         self.level = min(account.burst, self.level + gained)
         self.filled_at = now
 
-    def leave(self, silent_part: float, account: Account, now: float) -> None:
-        """Leave a part of the rate to hosts that are silent, and once of the burst.
+    def reserve_for_silent(
+        self, silent_part: float, account: Account, now: float
+    ) -> None:
+        """Reserve a part of the rate, and once of the burst, for silent hosts.
 
-        They hold none of the burst that were told that the account is over its limit.
-        What is left to them comes back with them, less what they report.
+        Hosts that were told that the account is over its limit have no burst left to
+        use. When silent hosts report again, their reserve is released, less the usage
+        that they report.
         """
         part = max(PART_MIN, 1.0 - silent_part)
-        heard = part - self.heard_part
-        self.heard_part = part
-        if heard > 0 or now - self.over_since < HELD_SECONDS:
-            self.level = min(account.burst, self.level + heard * account.burst)
+        released = part - self.reporting_part
+        self.reporting_part = part
+        if released > 0 or now - self.over_since < LIMIT_KNOWN_SECONDS:
+            self.level = min(account.burst, self.level + released * account.burst)
 
     @property
     def rate(self) -> float:
-        """Return the requests a second of the hosts that are heard of."""
-        return self.full_rate * self.heard_part
+        """Return the requests per second granted to the hosts that still report."""
+        return self.full_rate * self.reporting_part
 
 
 @dataclass(slots=True)
 class Reporter:
-    """A host, or another ledger, with what it told last.
+    """A host, or another ledger, with the state of its last report.
 
-    ``region`` is that of a ledger, "" for a host. ``complete`` tells that it has been
-    heard since its start, so that a row which was not there before is all news.
-    ``parts`` are its parts of what was asked of each account then, ``silent_parts``
-    those of hosts that it no longer hears.
+    ``region`` is that of a ledger, "" for a host. ``complete`` is true if this ledger
+    has received its reports since it started, so that a row seen for the first time
+    counts in full. ``parts`` are its parts of each account's requests, ``silent_parts``
+    those of the hosts that no longer report to it.
     """
 
     started: int
@@ -98,22 +104,24 @@
 
 
 class UsageLedger:
-    """Sum up reports; ``silent_seconds_max`` is how long a cut-off host may admit.
+    """Sum up usage reports of hosts.
+
+    ``silent_seconds_max`` is how long a host that is cut off may admit requests.
 
-    A ledger that begins to hear reports does not know what was admitted before, so its
-    buckets start empty: for a moment only the rate is given out.
+    A ledger that starts to receive reports does not know what was admitted before, so
+    its buckets start empty: at first it grants only the rate.
     """
 
     def __init__(self, silent_seconds_max: float, bounds: LimitBounds = STRICT) -> None:
         self.silent_seconds_max = silent_seconds_max
         self.bounds = bounds
         self.reporters: dict[tuple[str, bool], Reporter] = {}
-        self.over: set[str] = set()
-        self.uses: dict[str, AccountUse] = {}
+        self.over_limit: set[str] = set()
+        self.uses: dict[str, AccountUsage] = {}
         self.sums: dict[str, UsageRow] = {}
         self.silent_parts: Counter[str] = Counter()
-        self.regions_heard_at: dict[str, float] = {}
-        self.informed_since = 0.0
+        self.region_reported_at: dict[str, float] = {}
+        self.receiving_since = 0.0
         self.heard_at = -math.inf
 
     def take(
@@ -124,101 +132,104 @@
         *,
         answered_here: bool = True,
     ) -> None:
-        """Take in a report, where the one before it was answered by this ledger.
+        """Count the usage in a report.
 
-        Else it only tells where its host stands: what it did before has been reported
-        elsewhere, and counted twice it would use up the limits of its accounts.
+        If another ledger answered the host's previous report (``answered_here`` is
+        false), this one only sets the baseline for the next: that usage has been
+        reported elsewhere, and counting it twice would use up the accounts' limits.
         """
-        if now - self.heard_at > UNINFORMED_SECONDS:
+        if now - self.heard_at > REPORT_GAP_SECONDS:
             self.uses.clear()
-            self.informed_since = now
+            self.receiving_since = now
         if not report.summed:
             self.heard_at = now
-        # A ledger may report what it was asked itself beside its sums.
+        # A ledger may report its own requests in addition to its sums.
         key = report.host, report.summed
         reporter = self.reporters.get(key)
-        known = reporter is not None and reporter.started == report.started
-        if reporter is None or not known:
+        same_incarnation = reporter is not None and reporter.started == report.started
+        if reporter is None or not same_incarnation:
             region = report.region if report.summed else ""
             complete = report.unanswered
             reporter = Reporter(report.started, now, region, complete)
             self.reporters[key] = reporter
         reporter.heard_at = now
-        self.regions_heard_at[report.region] = now
+        self.region_reported_at[report.region] = now
         reporter.silent_parts = report.silent_parts
-        counts = report.unanswered or (known and (answered_here or report.summed))
+        should_count = report.unanswered or (
+            same_incarnation and (answered_here or report.summed)
+        )
         for row in report.rows:
-            self._take_row(reporter, row, accounts, now, counts, report.summed)
+            self._count_row(reporter, row, accounts, now, should_count, report.summed)
 
-    def _take_row(
+    def _count_row(
         self,
         reporter: Reporter,
         row: UsageRow,
         accounts: Mapping[str, Account],
         now: float,
-        counts: bool,
+        should_count: bool,
         summed: bool,
     ) -> None:
-        """Count what is new of one account."""
+        """Count what one account used since the reporter's previous row."""
         before = reporter.rows.get(row.account)
         reporter.rows[row.account] = row
         account = accounts.get(row.account)
-        is_news = before is not None or reporter.complete
-        if account is None or not counts or not is_news:
+        has_baseline = before is not None or reporter.complete
+        if account is None or not should_count or not has_baseline:
             return
         asked = row.asked - (before.asked if before else 0)
         admitted = row.admitted - (before.admitted if before else 0)
         if asked < 0 or admitted < 0:
             return
-        use = self._use(account, now)
+        use = self._usage(account, now)
         use.fill(account, now)
         use.level -= admitted
         use.asked.add(asked, now)
-        use.asked_of_late.add(asked, now)
-        rate = reporter.asked.setdefault(row.account, Rate(PART_SECONDS))
+        use.asked_recently.add(asked, now)
+        rate = reporter.asked.setdefault(row.account, Rate(PART_AVERAGE_SECONDS))
         rate.add(asked, now)
-        total_rate = max(RATE_MIN, use.asked_of_late.read(now))
+        total_rate = max(RATE_MIN, use.asked_recently.read(now))
         reporter.parts[row.account] = rate.read(now) / total_rate
         if not summed:
             total = self.sums.setdefault(row.account, UsageRow(row.account, 0, 0))
             total.asked += asked
             total.admitted += admitted
 
-    def _use(self, account: Account, now: float) -> AccountUse:
-        """Return what is known of an account's use."""
+    def _usage(self, account: Account, now: float) -> AccountUsage:
+        """Return an account's usage, creating it at the first request."""
         use = self.uses.get(account.name)
         if use is None:
-            # Nothing of it was asked since the ledger began to hear.
+            # The account had no requests since the ledger started to receive reports.
             rate = self.bounds.rate(account)
-            gained = rate * (now - self.informed_since)
-            use = AccountUse(min(account.burst, gained), now, rate)
+            gained = rate * (now - self.receiving_since)
+            use = AccountUsage(min(account.burst, gained), now, rate)
             self.uses[account.name] = use
         else:
             use.full_rate = self.bounds.rate(account)
         return use
 
     def limit(self, account: Account, now: float) -> LimitRow:
-        """Return which share of an account's requests may be admitted now."""
-        use = self._use(account, now)
+        """Return the share of an account's requests to admit now."""
+        use = self._usage(account, now)
         use.fill(account, now)
         asked = use.asked.read(now)
         if not account.limited or asked < RATE_MIN:
             return LimitRow(account.name, 1.0, asked)
-        room = use.rate + use.level / LEVEL_SECONDS
-        share = min(1.0, max(0.0, room / asked))
+        available = use.rate + use.level / TOKEN_GRANT_SECONDS
+        share = min(1.0, max(0.0, available / asked))
         if share < 1.0:
             use.over_since = min(use.over_since, now)
-            self.over.add(account.name)
+            self.over_limit.add(account.name)
         else:
             use.over_since = math.inf
-        return LimitRow(account.name, share, asked / use.heard_part)
+        return LimitRow(account.name, share, asked / use.reporting_part)
 
     def limits(
         self, accounts: Mapping[str, Account], reported: Iterable[str], now: float
     ) -> list[LimitRow]:
-        """Return all accounts that are over their limits, and those reported."""
-        names = {*reported, *self.over}
-        self.over.clear()
+        """Return the limits of all accounts over their limit, and of those reported."""
+        names = {*reported, *self.over_limit}
+        self.over_limit.clear()
         limited = [
             account
             for name in names
@@ -227,7 +238,7 @@
         return [self.limit(account, now) for account in limited]
 
     def tick(self, accounts: Mapping[str, Account], now: float) -> None:
-        """Leave their parts to hosts that are silent, until they can't use them."""
+        """Reserve the parts of silent hosts until they can no longer use them."""
         self.silent_parts.clear()
         silent: Counter[str] = Counter()
         for key, reporter in list(self.reporters.items()):
@@ -241,13 +252,13 @@
             account = accounts.get(name)
             if account is not None and account.requests_per_second >= SMALL_RATE:
                 use.fill(account, now)
-                use.leave(silent[name], account, now)
+                use.reserve_for_silent(silent[name], account, now)
 
     def _count_silent(
         self, reporter: Reporter, silent: Counter[str], now: float
     ) -> None:
-        """Add the parts of a silent reporter; another ledger may stand in for one."""
+        """Add a silent reporter's parts unless another ledger covers its region."""
         if not reporter.region:
             self.silent_parts.update(reporter.parts)
-        elif now - self.regions_heard_at[reporter.region] > SILENT_SECONDS:
+        elif now - self.region_reported_at[reporter.region] > SILENT_SECONDS:
             silent.update(reporter.parts)
--- a/packages/core/greengagepoint/accounts/messages.py
+++ b/packages/core/greengagepoint/accounts/messages.py
@@ -1,4 +1,4 @@
-"""What hosts tell each other of the use of accounts."""
+"""Messages between hosts about the usage of accounts."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class UsageRow(msgspec.Struct, array_like=True, gc=False):
-    """How many requests of an account were asked and admitted in a host's lifetime."""
+    """Requests of an account sent to and admitted by a host since it started."""
 
     account: str
     asked: int
@@ -16,11 +16,12 @@
 class UsageReport(msgspec.Struct, array_like=True):
     """The rows that changed since the last report that was answered.
 
-    ``started`` tells the lifetimes of a host apart. ``summed`` rows are those of all
-    hosts that report to the sender. ``unanswered`` tells that no report of this
-    lifetime was answered, so all of it is news. ``silent_parts`` are the parts of each
-    account's requests that hosts got which the sender no longer hears. ``region`` is
-    the sender's, ``answered_by`` the ledger that answered its last report.
+    ``started`` is the start time of the host's incarnation. ``summed`` rows are totals
+    of all hosts that report to the sender. ``unanswered`` is true while no report of
+    this incarnation was answered, so that its rows count in full. ``silent_parts`` are
+    the parts of each account's requests received by hosts that no longer report to the
+    sender. ``region`` is the sender's, ``answered_by`` the ledger that answered its
+    last report.
     """
 
     host: str
@@ -34,9 +35,9 @@
 
 
 class LimitRow(msgspec.Struct, array_like=True, gc=False):
-    """Which share of an account's requests may be admitted, and how many are asked.
+    """The share of an account's requests to admit, and its request rate.
 
-    ``asked_per_second`` is over all hosts.
+    ``asked_per_second`` is the rate over all hosts.
     """
 
     account: str
@@ -45,9 +46,10 @@
 
 
 class UsageAnswer(msgspec.Struct, array_like=True):
-    """All accounts over their limits, and those of the report.
+    """The limits of all accounts over their limit, and of those in the report.
 
-    ``proof`` is what the sender knows of the newest configuration, ``ledger`` its name.
+    ``proof`` is the sender's proof of how fresh its configuration is, ``ledger`` the
+    sender's name.
     """
 
     limits: list[LimitRow]
--- a/packages/core/greengagepoint/accounts/rates.py
+++ b/packages/core/greengagepoint/accounts/rates.py
@@ -1,4 +1,4 @@
-"""Average a rate over the last moments."""
+"""Exponentially weighted rates of events."""
 
 import math
 from dataclasses import dataclass
@@ -6,14 +6,14 @@
 
 @dataclass(slots=True)
 class Rate:
-    """Events a second, where each counts less the longer ago it was."""
+    """Events per second, decaying exponentially with time constant ``seconds``."""
 
     seconds: float
     value: float = 0.0
     at: float = 0.0
 
     def add(self, count: int, now: float) -> None:
-        """Count what came just now."""
+        """Add events that occurred now."""
         self.value = self.read(now) + count / self.seconds
         self.at = now
 
--- a/packages/core/greengagepoint/accounts/tables.py
+++ b/packages/core/greengagepoint/accounts/tables.py
@@ -1,4 +1,4 @@
-"""What operators say of client accounts."""
+"""Client accounts as operators configure them."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -11,9 +11,9 @@
 class Account(msgspec.Struct, frozen=True, kw_only=True, gc=False):
     """One client account.
 
-    ``rank`` goes before a route's, None where the account has none. A rate of 0 means
-    that the account has no limit; ``burst`` comes on top, both over all hosts together.
-    ``home_regions`` empty means any.
+    ``rank`` overrides a route's rank; None keeps the route's. A rate of 0 means that
+    the account has no limit. ``burst`` is allowed on top of the rate; both apply to all
+    hosts together. An empty ``home_regions`` means any region.
     """
 
     name: str
@@ -24,7 +24,7 @@
 
     @property
     def limited(self) -> bool:
-        """Tell whether the account may ask for so much and no more."""
+        """Return True if the account has a rate limit."""
         return self.requests_per_second > 0
 
 
@@ -35,33 +35,38 @@
     by_name: dict[str, Account] = {}
 
     def __bool__(self) -> bool:
-        """Tell whether callers have to say whose request it is."""
+        """Return True if callers have to identify their account."""
         return bool(self.by_name)
 
     def add(self, account: Account, keys: Iterable[str]) -> None:
-        """Add an account with its keys; raise ValueError that names no key."""
+        """Add an account with its keys.
+
+        Raise ValueError if either is invalid; its message contains no key.
+        """
         _check(account)
         name = account.name
         if name in self.by_name:
-            raise ValueError(f"two accounts are called {name}")
+            raise ValueError(f"duplicate account {name}")
         self.by_name[name] = account
         for key in keys:
             if not key:
-                raise ValueError(f"the account {name} has an empty key")
-            holder = self.by_key.setdefault(key, account)
-            if holder is not account:
-                raise ValueError(f"{holder.name} and {name} hold the same key")
+                raise ValueError(f"account {name} has an empty key")
+            owner = self.by_key.setdefault(key, account)
+            if owner is not account:
+                raise ValueError(f"{owner.name} and {name} have the same account key")
 
 
 def _check(account: Account) -> None:
-    """Raise ValueError where an account can't be served.
+    """Raise ValueError if an account is invalid.
 
-    Its name goes into a header of requests to backend servers.
+    Its name is sent in a header of requests to backend servers.
     """
     name = account.name
     if not name or not name.isascii() or not name.isprintable() or " " in name:
-        raise ValueError("an account has no usable name")
+        raise ValueError(
+            "account name must be non-empty printable ASCII without spaces"
+        )
     if len(name) > NAME_LENGTH_MAX:
-        raise ValueError("the name of an account is too long")
+        raise ValueError("account name is longer than 255 characters")
     if account.requests_per_second < 0 or account.burst < 0:
-        raise ValueError(f"the account {name} has a negative limit")
+        raise ValueError(f"account {name} has a negative rate or burst")
--- a/packages/core/tests/test_accounts_certainty.py
+++ b/packages/core/tests/test_accounts_certainty.py
@@ -156,13 +156,13 @@
             call.revision = self.written[-1][0]
             return
         known = call.peer.certainty
-        call.revision = max(known.newest, known.in_force)
+        call.revision = max(known.newest, known.active_revision)
         call.proof = known.proof(self.clock(call.peer))
 
     def receive(self, call: Call) -> None:
         self.calls.remove(call)
         certainty = call.host.certainty
-        if call.revision > certainty.in_force:
+        if call.revision > certainty.active_revision:
             call.host.waiting = max(call.host.waiting, call.revision)
             certainty.note(call.revision, -math.inf)
         if call.peer is None:
@@ -188,7 +188,7 @@
         old = max(row for row, at in self.written if at <= self.now - BOUND or row == 1)
         for host in self.hosts.values():
             if host.certainty.holds(self.clock(host), BOUND):
-                assert host.certainty.in_force >= old
+                assert host.certainty.active_revision >= old
 
 
 class BelievesReceipt(Certainty):
@@ -209,8 +209,8 @@
 class TakesKnownForLoaded(Certainty):
     """Count what is known of a version that is still to be read."""
 
-    def _settle(self) -> None:
-        self.certain_at = max(self.certain_at, self.newest_at)
+    def _apply_newest(self) -> None:
+        self.certain_at = max(self.certain_at, self.newest_verified_at)
 
 
 SETTINGS = settings(
