--- a/packages/core/greengagepoint/quarantine/__init__.py
+++ b/packages/core/greengagepoint/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that end the backend servers that run them."""
+"""Quarantine for requests that crash the backend servers that run them."""
--- a/packages/core/greengagepoint/quarantine/fingerprint.py
+++ b/packages/core/greengagepoint/quarantine/fingerprint.py
@@ -1,18 +1,19 @@
-"""Recognise a request that comes again under another request id."""
+"""Recognise a request that is retried under another request id."""
 
 from typing import Final, NamedTuple
 
 import xxhash
 
 SEPARATOR: Final = b"\0"
-# The hexadecimal digits of a content that do not depend on the body.
+# Leading hexadecimal digits of a content hash that do not depend on the body.
 HEAD_LENGTH: Final = 16
 
 
 class Fingerprint(NamedTuple):
-    """Hashes of a request, the same at each host and for each of its attempts.
+    """Hashes of a request, equal on every host and for each of its attempts.
 
-    ``content`` is what a backend server makes its answer from, ``caller`` is who asks.
+    ``content`` covers what a backend server's answer depends on, ``caller`` identifies
+    who sent the request.
     """
 
     content: str
@@ -25,7 +26,7 @@
 
 
 def hash_content(head: str, body: bytes | None) -> str:
-    """Return the hash of a request whose first part has a hash already."""
+    """Return the hash of a request from the hash of its head and its body."""
     return head + xxhash.xxh3_64(body or b"").hexdigest()
 
 
@@ -35,5 +36,5 @@
 
 
 def _digest(*texts: str) -> xxhash.xxh3_64:
-    """Return the hash of some texts, none of which holds a zero byte."""
+    """Return the hash of some texts, none of which may contain a zero byte."""
     return xxhash.xxh3_64(SEPARATOR.join(text.encode() for text in texts))
--- a/packages/core/greengagepoint/quarantine/messages.py
+++ b/packages/core/greengagepoint/quarantine/messages.py
@@ -1,18 +1,19 @@
-"""What hosts tell each other of requests that end backend servers."""
+"""Messages between hosts about requests that crash backend servers."""
 
 from typing import Annotated
 
 import msgspec
 from msgspec import Meta
 
-# With a negative age, a request would be refused until long after its last end.
+# With a negative age, a request would be quarantined until long after its last crash.
 Milliseconds = Annotated[int, Meta(ge=0)]
 
 
 class SharedEnd(msgspec.Struct, array_like=True, frozen=True):
-    """A run of a server that ended with a caller's request in flight.
+    """A server crash with a caller's request in flight.
 
-    ``settled`` tells that the request has been cleared of it.
+    ``born`` is the start time of the server's incarnation. ``settled`` is true if the
+    crash no longer counts against the request.
     """
 
     instance: str
@@ -23,9 +24,9 @@
 
 
 class SharedSuspect(msgspec.Struct, array_like=True, frozen=True):
-    """The ends that are known of one request.
+    """The server crashes of one request.
 
-    For ``trial_ms`` more its sender tries the request, and others should wait.
+    The sender tries the request for another ``trial_ms``; other hosts should wait.
     """
 
     content: str
--- a/packages/core/greengagepoint/quarantine/quarantine.py
+++ b/packages/core/greengagepoint/quarantine/quarantine.py
@@ -1,9 +1,9 @@
-"""Refuse requests that end the backend servers that run them.
+"""Reject requests that crash the backend servers that run them.
 
-Load answered: a request ends each server that runs it and comes again, under new ids,
-at any host. Each host keeps the ends that any of them has seen, so that three on the
-whole fleet are enough. Innocent requests are in flight at such servers as well; an
-answer clears them.
+Such a request crashes each server that runs it, and callers retry it under new ids on
+any host. Hosts share the server crashes that they see, so that three crashes in the
+whole fleet are enough to quarantine the request. Harmless requests are in flight on
+these servers too; they are cleared as soon as a server answers them.
 """
 
 from collections import Counter
@@ -14,16 +14,16 @@
 from greengagepoint.quarantine.lost_servers import LostServers
 from greengagepoint.quarantine.messages import SharedEnd, SharedSuspect
 from greengagepoint.quarantine.rules import (
-    ENDS_ALONE,
-    ENDS_MAX,
-    EndMoment,
-    counted_ends,
+    ISOLATE_AFTER_CRASHES,
+    QUARANTINE_AFTER_CRASHES,
+    CrashMoment,
+    counted_crashes,
     refused_until,
 )
 from greengagepoint.quarantine.tables import (
     ENDS_KEPT,
     FREE,
-    EndKey,
+    CrashKey,
     ServerRun,
     Standing,
     Suspect,
@@ -31,81 +31,87 @@
 )
 
 SUSPECTS_MAX: Final = 2_048
-# Ends are kept for long after the longest refusal, so that a single one more is enough.
-FORGET_SECONDS: Final = 1_200.0
-# Hosts that tell of the same end do so within this.
-SAME_END_SECONDS: Final = 1.0
-# While one host tries a request, others wait for what comes of it.
+# Crashes are kept for long after the longest quarantine, so that a single further crash
+# is enough to start it again.
+CRASH_RETENTION_SECONDS: Final = 1_200.0
+# Hosts that report the same crash do so within this.
+SAME_CRASH_SECONDS: Final = 1.0
+# While one host tries a request, other hosts wait this long for the outcome.
 TRIAL_SECONDS: Final = 1.0
 
 
 class Quarantine:
-    """The ends of all hosts by request content; times are monotonic seconds."""
+    """Server crashes seen by all hosts, by request content.
+
+    Times are monotonic seconds.
+    """
 
     def __init__(self) -> None:
         self.suspects: dict[str, Suspect] = {}
         self.heads: Counter[str] = Counter()
         self.lost = LostServers()
-        # The ends that a refused request accounts for, and which one it is.
-        self.explained: dict[ServerRun, str] = {}
-        # The ends beneath requests that have more than one.
-        self.repeated: set[ServerRun] = set()
+        # Crashes caused by a quarantined request, with the content of that request.
+        self.explained_by: dict[ServerRun, str] = {}
+        # Crashes with a request in flight that was in flight at other crashes too.
+        self.repeated_crashes: set[ServerRun] = set()
 
     def may_know(self, head: str) -> bool:
-        """Tell whether a content with this head may be under suspicion."""
+        """Return True if a content with this head may be suspected."""
         return head in self.heads
 
     def standing(self, fingerprint: Fingerprint, now: float) -> Standing:
-        """Return whether a request may be sent to a server now."""
+        """Decide whether a request may be sent to a server now."""
         suspect = self.suspects.get(fingerprint.content)
         if suspect is None:
             return FREE
-        times = self._counted(suspect, fingerprint.caller)
-        if len(times) < ENDS_ALONE:
+        times = self._counted_times(suspect, fingerprint.caller)
+        if len(times) < ISOLATE_AFTER_CRASHES:
             return FREE
         ends, last = len(times), now - times[-1]
         until = refused_until(times)
         if until > now:
             return Standing(Verdict.QUARANTINED, until - now, ends, last)
         if suspect.trials or suspect.trial_until > now:
-            left = max(suspect.trial_until - now, TRIAL_SECONDS / 2)
-            return Standing(Verdict.WAITS, left, ends, last)
+            remaining = max(suspect.trial_until - now, TRIAL_SECONDS / 2)
+            return Standing(Verdict.WAITS, remaining, ends, last)
         return Standing(Verdict.ALONE, 0.0, ends, last)
 
     def note_end(self, fingerprint: Fingerprint, run: ServerRun, now: float) -> bool:
-        """Take in that a server ended with a request in flight; tell if it is news."""
+        """Record a server crash with a request in flight; return True if it is new."""
         content = fingerprint.content
-        run = self._distinct(run, now)
-        news = self._add(content, EndKey(run, fingerprint.caller), now)
-        if news:
+        run = self._distinct_incarnation(run, now)
+        has_changed = self._add(content, CrashKey(run, fingerprint.caller), now)
+        if has_changed:
             self.suspects[content].changed_at = now
             self._clear_bystanders(content, now)
-        return news
+        return has_changed
 
     def note_answer(self, fingerprint: Fingerprint, now: float) -> bool:
-        """Clear a request that a server has answered; tell whether that is news.
+        """Clear a request that a server has answered; return True if that is a change.
 
-        An answer to one caller says nothing of a request of another one that is refused
-        for ends of its own.
+        An answer to one caller does not clear the request of another caller that is
+        quarantined for that caller's own crashes.
         """
         suspect = self.suspects.get(fingerprint.content)
         if suspect is None:
             return False
-        refused = {
+        quarantined_callers = {
             key.caller
             for key in suspect.unsettled()
             if key.caller != fingerprint.caller
-            and refused_until(self._counted_of(suspect, key.caller)) > now
+            and refused_until(self._crash_times_of(suspect, key.caller)) > now
         }
-        return self._settle(suspect, lambda key: key.caller not in refused, now)
+        return self._settle(
+            suspect, lambda key: key.caller not in quarantined_callers, now
+        )
 
     def lift(self, content: str, now: float) -> bool:
-        """Clear a request on an operator's word; tell whether anything was held."""
+        """Clear a request at an operator's command; return True if it was suspected."""
         suspect = self.suspects.get(content)
         return suspect is not None and self._settle(suspect, lambda key: True, now)
 
     def begin_trial(self, content: str, now: float) -> None:
-        """Take in that this host sends a suspected request to a server."""
+        """Record that this host starts to send a suspected request to a server."""
         suspect = self.suspects.get(content)
         if suspect is not None:
             suspect.trials += 1
@@ -113,53 +119,58 @@
             suspect.changed_at = now
 
     def end_trial(self, content: str, now: float) -> None:
-        """Take in that such a send has ended."""
+        """Record that the trial of a suspected request has ended."""
         suspect = self.suspects.get(content)
         if suspect is not None:
             suspect.trials = max(0, suspect.trials - 1)
             suspect.trial_until = now
 
     def held(self, now: float) -> dict[str, float]:
-        """Return the contents that may not run freely for some caller.
+        """Return the contents that are restricted for some caller.
 
-        With each come the seconds for which it is refused, 0 where it may be tried.
+        Each maps to the seconds that its quarantine still lasts, 0 if it may be tried.
         """
         return {
             content: max(0.0, self.refused_until(content) - now)
             for content, suspect in self.suspects.items()
-            if self._most_ends(suspect) >= ENDS_ALONE
+            if self._max_crashes(suspect) >= ISOLATE_AFTER_CRASHES
         }
 
     def refused_until(self, content: str) -> float:
-        """Return until when a content is refused to some caller."""
+        """Return until when a content is quarantined for some caller."""
         suspect = self.suspects.get(content)
-        if suspect is None or len(suspect.unsettled()) < ENDS_MAX:
+        if suspect is None or len(suspect.unsettled()) < QUARANTINE_AFTER_CRASHES:
             return float("-inf")
         callers = {key.caller for key in suspect.unsettled()}
-        return max(refused_until(self._counted(suspect, caller)) for caller in callers)
+        return max(
+            refused_until(self._counted_times(suspect, caller)) for caller in callers
+        )
 
     def merge(self, rows: Iterable[SharedSuspect], now: float) -> list[str]:
-        """Take in what a peer knows; return the contents of which that was news."""
+        """Merge a peer's table; return the contents that changed."""
         changed = []
         for row in rows:
             if row.ends and self._merge_one(row, now):
                 changed.append(row.content)
-        # A full table may have dropped some for others.
+        # A full table may have evicted some of them for others.
         changed = [content for content in changed if content in self.suspects]
         for content in changed:
             self._clear_bystanders(content, now)
         return changed
 
     def shared(self, contents: Iterable[str], now: float) -> list[SharedSuspect]:
-        """Return what peers should know of some contents."""
+        """Return the state of some contents to send to peers."""
         return [
-            _shared(content, self.suspects[content], now)
+            _to_shared(content, self.suspects[content], now)
             for content in contents
             if content in self.suspects
         ]
 
     def recent(self, count: int, seconds: float, now: float) -> list[str]:
-        """Return what a peer may have missed: held contents and the latest news."""
+        """Return up to ``count`` contents that a peer may have missed.
+
+        These are the restricted ones, then those changed within ``seconds``.
+        """
         held = self.held(now)
         rows = [
             (content in held, suspect.changed_at, content)
@@ -169,137 +180,142 @@
         return [content for _, _, content in sorted(rows, reverse=True)[:count]]
 
     def tick(self, now: float) -> None:
-        """Forget what is over."""
+        """Remove expired crashes and suspects."""
         for content, suspect in list(self.suspects.items()):
-            newest = max(end.at for end in suspect.ends.values())
-            if now - newest > FORGET_SECONDS:
-                self._forget(content)
-        self.lost.forget_before(now - FORGET_SECONDS)
-        for run in self.explained.keys() - self.lost.ends.keys():
-            del self.explained[run]
-        self.repeated &= self.lost.ends.keys()
-
-    def _distinct(self, run: ServerRun, now: float) -> ServerRun:
-        """Return another run in place of one that has ended before.
-
-        While the store is away a server starts again unheard, and its ends would count
-        as one.
+            newest = max(crash.at for crash in suspect.ends.values())
+            if now - newest > CRASH_RETENTION_SECONDS:
+                self._remove(content)
+        self.lost.remove_before(now - CRASH_RETENTION_SECONDS)
+        for run in self.explained_by.keys() - self.lost.ends.keys():
+            del self.explained_by[run]
+        self.repeated_crashes &= self.lost.ends.keys()
+
+    def _distinct_incarnation(self, run: ServerRun, now: float) -> ServerRun:
+        """Return a distinct incarnation in place of one that has crashed before.
+
+        While the store is down, hosts are not told that a server has restarted. Its
+        later crashes would otherwise count as one.
         """
         ended_at = self.lost.ends.get(run)
-        if ended_at is None or now - ended_at < SAME_END_SECONDS:
+        if ended_at is None or now - ended_at < SAME_CRASH_SECONDS:
             return run
         return run._replace(born=run.born + int(now - ended_at))
 
     def _merge_one(self, row: SharedSuspect, now: float) -> bool:
-        """Take in what a peer knows of one content; tell whether that was news."""
-        news = False
-        for end in row.ends[:ENDS_KEPT]:
-            key = EndKey(ServerRun(end.instance, end.born), end.caller)
-            at = now - end.age_ms / 1000
-            news |= self._add(row.content, key, at, settled=end.settled)
+        """Merge a peer's state of one content; return True if anything changed."""
+        has_changed = False
+        for crash in row.ends[:ENDS_KEPT]:
+            key = CrashKey(ServerRun(crash.instance, crash.born), crash.caller)
+            at = now - crash.age_ms / 1000
+            has_changed |= self._add(row.content, key, at, settled=crash.settled)
         suspect = self.suspects[row.content]
         trial_until = now + min(row.trial_ms / 1000, TRIAL_SECONDS)
         if row.trial_ms and trial_until > suspect.trial_until + TRIAL_SECONDS / 2:
             suspect.trial_until = trial_until
-            news = True
-        if news:
+            has_changed = True
+        if has_changed:
             suspect.changed_at = now
-        return news
+        return has_changed
 
     def _add(
-        self, content: str, key: EndKey, at: float, *, settled: bool = False
+        self, content: str, key: CrashKey, at: float, *, settled: bool = False
     ) -> bool:
-        """Take in an end beneath a request; tell whether that is news."""
-        self.lost.note(key.run, at)
-        suspect = self._suspect(content)
+        """Add a crash to a request's suspect; return True if anything changed."""
+        self.lost.record(key.run, at)
+        suspect = self._get_or_create_suspect(content)
         if key not in suspect.ends:
-            settled = settled or self.explained.get(key.run, content) != content
-        news = suspect.add(key, at, settled=settled)
-        runs = {known.run for known in suspect.ends}
-        if len(runs) >= ENDS_ALONE:
-            self.repeated |= runs
-        return news
-
-    def _most_ends(self, suspect: Suspect) -> int:
-        """Return how many ends count against a request of the caller with most."""
+            settled = settled or self.explained_by.get(key.run, content) != content
+        has_changed = suspect.add(key, at, settled=settled)
+        runs = {crash_key.run for crash_key in suspect.ends}
+        if len(runs) >= ISOLATE_AFTER_CRASHES:
+            self.repeated_crashes |= runs
+        return has_changed
+
+    def _max_crashes(self, suspect: Suspect) -> int:
+        """Return the highest number of crashes that count against any one caller."""
         unsettled = suspect.unsettled()
-        if len(unsettled) < ENDS_ALONE:
+        if len(unsettled) < ISOLATE_AFTER_CRASHES:
             return len(unsettled)
         callers = {key.caller for key in unsettled}
-        return max(len(self._counted(suspect, caller)) for caller in callers)
+        return max(len(self._counted_times(suspect, caller)) for caller in callers)
 
-    def _counted(self, suspect: Suspect, caller: str) -> list[float]:
-        """Return the times of the ends that count against a caller's request.
+    def _counted_times(self, suspect: Suspect, caller: str) -> list[float]:
+        """Return the times of the crashes that count against a caller's request.
 
-        Servers answer from the content, so ends beneath several callers count against
-        all of them. Those of one caller count against that one alone: what it sends may
-        differ in ways that the fingerprint does not cover.
+        A server's answer depends on the content, so crashes with requests of several
+        callers count against all of them. Crashes with one caller's requests count
+        against that caller alone: its requests may differ in ways that the fingerprint
+        does not cover.
         """
-        own = self._counted_of(suspect, caller)
+        own = self._crash_times_of(suspect, caller)
         if len({key.caller for key in suspect.unsettled()}) < 2:
             return own
-        together = self._counted_of(suspect, None)
-        return max(own, together, key=lambda times: (refused_until(times), len(times)))
+        all_callers_times = self._crash_times_of(suspect, None)
+        return max(
+            own, all_callers_times, key=lambda times: (refused_until(times), len(times))
+        )
 
-    def _counted_of(self, suspect: Suspect, caller: str | None) -> list[float]:
-        """Return the times of the ends beneath one caller, or beneath all of them.
+    def _crash_times_of(self, suspect: Suspect, caller: str | None) -> list[float]:
+        """Return the times of the crashes with one caller's requests, or all callers'.
 
-        A server that ended at the same moment without the request speaks for a cause
-        that they share, unless another request has ended more than that one.
+        If another server crashed at the same time without the request in flight, the
+        crashes probably share a cause, unless another request that was in flight at
+        several crashes explains that server's.
         """
         runs = {
-            key.run: end.at
-            for key, end in suspect.unsettled().items()
+            key.run: crash.at
+            for key, crash in suspect.unsettled().items()
             if caller is None or key.caller == caller
         }
         own = {key.run for key in suspect.ends}
 
         def is_other(lost: ServerRun) -> bool:
-            return lost not in own and lost not in self.repeated
+            return lost not in own and lost not in self.repeated_crashes
 
-        return counted_ends(
-            EndMoment(at, self.lost.any_near(at, is_other)) for at in runs.values()
+        return counted_crashes(
+            CrashMoment(at, self.lost.has_crash_near(at, is_other))
+            for at in runs.values()
         )
 
     def _clear_bystanders(self, content: str, now: float) -> None:
-        """Clear others of the ends that a refused request explains."""
+        """Clear other requests of the crashes that a quarantined request caused."""
         if self.refused_until(content) <= now:
             return
         runs = {key.run for key in self.suspects[content].unsettled()}
         for run in runs:
-            self.explained.setdefault(run, content)
+            self.explained_by.setdefault(run, content)
         for other, suspect in self.suspects.items():
             if other != content and self.refused_until(other) <= now:
                 self._settle(suspect, lambda key: key.run in runs, now)
 
     def _settle(
-        self, suspect: Suspect, wanted: Callable[[EndKey], bool], now: float
+        self, suspect: Suspect, matches: Callable[[CrashKey], bool], now: float
     ) -> bool:
-        """Clear a request of some ends; tell whether that is news."""
-        cleared = [key for key in suspect.unsettled() if wanted(key)]
+        """Settle the matching crashes of a request; return True if there were any."""
+        cleared = [key for key in suspect.unsettled() if matches(key)]
         for key in cleared:
             suspect.ends[key].settled = True
         if cleared:
             suspect.changed_at = now
         return bool(cleared)
 
-    def _suspect(self, content: str) -> Suspect:
-        """Return what is kept of a content."""
+    def _get_or_create_suspect(self, content: str) -> Suspect:
+        """Return the suspect of a content, creating it if needed."""
         suspect = self.suspects.get(content)
         if suspect is None:
             if len(self.suspects) >= SUSPECTS_MAX:
-                self._forget(min(self.suspects, key=self._weight))
+                self._remove(min(self.suspects, key=self._eviction_key))
             suspect = self.suspects[content] = Suspect()
             self.heads[content[:HEAD_LENGTH]] += 1
         return suspect
 
-    def _weight(self, content: str) -> tuple[int, float]:
-        """Return how much would be lost with a content."""
+    def _eviction_key(self, content: str) -> tuple[int, float]:
+        """Return the eviction priority of a content; the lowest is evicted first."""
         suspect = self.suspects[content]
         return len(suspect.unsettled()), suspect.changed_at
 
-    def _forget(self, content: str) -> None:
-        """Drop what is kept of a content."""
+    def _remove(self, content: str) -> None:
+        """Remove a content from the table."""
         del self.suspects[content]
         head = content[:HEAD_LENGTH]
         self.heads[head] -= 1
@@ -307,17 +323,17 @@
             del self.heads[head]
 
 
-def _shared(content: str, suspect: Suspect, now: float) -> SharedSuspect:
-    """Return what peers should know of one content."""
+def _to_shared(content: str, suspect: Suspect, now: float) -> SharedSuspect:
+    """Return the state of one content to send to peers."""
     ends = tuple(
         SharedEnd(
             key.run.instance,
             key.run.born,
             key.caller,
-            max(0, round((now - end.at) * 1000)),
-            end.settled,
+            max(0, round((now - crash.at) * 1000)),
+            crash.settled,
         )
-        for key, end in suspect.ends.items()
+        for key, crash in suspect.ends.items()
     )
     trial_seconds = max(0.0, suspect.trial_until - now)
     return SharedSuspect(content, ends, round(trial_seconds * 1000))
--- a/packages/core/greengagepoint/quarantine/tables.py
+++ b/packages/core/greengagepoint/quarantine/tables.py
@@ -1,30 +1,33 @@
-"""Requests under suspicion, and the ends of servers that speak against them."""
+"""Suspected requests, and the server crashes that count against them."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
 from typing import Final, NamedTuple
 
-# Ends of one request that are kept; older ones say nothing more.
+# Crashes kept per request; older ones do not change the decision.
 ENDS_KEPT: Final = 16
 
 
 class ServerRun(NamedTuple):
-    """One run of a backend server; ``born`` is the Unix millisecond of its start."""
+    """One incarnation of a backend server, started at ``born`` Unix milliseconds."""
 
     instance: str
     born: int
 
 
-class EndKey(NamedTuple):
-    """One server's end beneath one caller's request."""
+class CrashKey(NamedTuple):
+    """One server crash with a request of one caller in flight."""
 
     run: ServerRun
     caller: str
 
 
 @dataclass(slots=True)
-class ServerEnd:
-    """When a server ended, monotonic seconds, and whether that still counts."""
+class ServerCrash:
+    """The time of a server crash in monotonic seconds.
+
+    A ``settled`` crash no longer counts against the request.
+    """
 
     at: float
     settled: bool = False
@@ -32,46 +35,49 @@
 
 @dataclass(slots=True)
 class Suspect:
-    """A request's content and what speaks against it; times are monotonic seconds.
+    """The crashes and trials of one request content; times are monotonic seconds.
+
+    ``ends`` are the crashes of servers with the request in flight.
 
-    ``trial_until`` is how long this host lets no copy run beside one that is tried
-    elsewhere, ``trials`` how many this host tries now.
+    Until ``trial_until`` this host sends no copy, as one is being tried. ``trials`` is
+    the number of copies that this host is trying now.
     """
 
-    ends: dict[EndKey, ServerEnd] = field(default_factory=dict)
+    ends: dict[CrashKey, ServerCrash] = field(default_factory=dict)
     changed_at: float = float("-inf")
     trial_until: float = float("-inf")
     trials: int = 0
 
-    def unsettled(self) -> dict[EndKey, ServerEnd]:
-        """Return the ends that count."""
+    def unsettled(self) -> dict[CrashKey, ServerCrash]:
+        """Return the crashes that still count."""
         return {key: end for key, end in self.ends.items() if not end.settled}
 
-    def add(self, key: EndKey, at: float, *, settled: bool = False) -> bool:
-        """Take in an end; tell whether that is news.
+    def add(self, key: CrashKey, at: float, *, settled: bool = False) -> bool:
+        """Add a crash; return True if that changed anything.
 
-        Whatever the order in which hosts hear of ends, they come to the same: the
-        earliest time counts, and what is settled stays so.
+        Hosts converge in whatever order they receive crashes: the earliest time counts,
+        and a settled crash stays settled.
         """
-        known = self.ends.get(key)
-        if known is not None:
-            known.at = min(known.at, at)
-            news = settled and not known.settled
-            known.settled = known.settled or settled
-            return news
+        existing = self.ends.get(key)
+        if existing is not None:
+            existing.at = min(existing.at, at)
+            has_changed = settled and not existing.settled
+            existing.settled = existing.settled or settled
+            return has_changed
         if len(self.ends) >= ENDS_KEPT:
             oldest = min(self.ends, key=lambda row: self.ends[row].at)
             if self.ends[oldest].at >= at:
                 return False
             del self.ends[oldest]
-        self.ends[key] = ServerEnd(at, settled)
+        self.ends[key] = ServerCrash(at, settled)
         return True
 
 
 class Verdict(StrEnum):
     """Whether a request may be sent to a backend server.
 
-    ``ALONE`` is on a server that other requests of its key do not use, one at a time.
+    ``ALONE`` allows one copy at a time, on a server that no other requests of its key
+    use. ``WAITS`` means that another copy is being tried now.
     """
 
     FREE = "free"
@@ -81,9 +87,10 @@
 
 
 class Standing(NamedTuple):
-    """What is held against a request; ``retry_seconds`` is when to ask again.
+    """The quarantine's decision on a request; retry after ``retry_seconds``.
 
-    ``ends`` count against it, the last one ``last_end_seconds`` ago.
+    ``ends`` is the number of crashes that count against the request, the last one
+    ``last_end_seconds`` ago.
     """
 
     verdict: Verdict
@@ -93,12 +100,12 @@
 
     @property
     def may_run(self) -> bool:
-        """Tell whether a server may get the request."""
+        """Return True if the request may be sent to a server."""
         return self.verdict in (Verdict.FREE, Verdict.ALONE)
 
     @property
     def alone(self) -> bool:
-        """Tell whether that is a server that others of its key do not use."""
+        """Return True if it must run on a server that no others of its key use."""
         return self.verdict is Verdict.ALONE
 
 
--- a/packages/core/tests/test_quarantine_table.py
+++ b/packages/core/tests/test_quarantine_table.py
@@ -7,16 +7,16 @@
 from greengagepoint.quarantine.fingerprint import Fingerprint
 from greengagepoint.quarantine.messages import SharedEnd, SharedSuspect
 from greengagepoint.quarantine.quarantine import (
-    FORGET_SECONDS,
+    CRASH_RETENTION_SECONDS,
     SUSPECTS_MAX,
     TRIAL_SECONDS,
     Quarantine,
 )
 from greengagepoint.quarantine.rules import (
-    ENDS_MAX,
+    QUARANTINE_AFTER_CRASHES,
     REFUSED_SECONDS,
-    EndMoment,
-    counted_ends,
+    CrashMoment,
+    counted_crashes,
     refused_until,
 )
 from greengagepoint.quarantine.tables import ENDS_KEPT, ServerRun, Verdict
@@ -208,7 +208,7 @@
     ],
 )
 def test_shared_moments_count_once(moments, count):
-    assert len(counted_ends(EndMoment(*row) for row in moments)) == count
+    assert len(counted_crashes(CrashMoment(*row) for row in moments)) == count
 
 
 def test_an_operator_lifts_a_refusal():
@@ -267,9 +267,9 @@
 def test_ends_are_forgotten():
     table = Quarantine()
     last = end(table, FATAL, 1, 2)
-    table.tick(last + FORGET_SECONDS - 1)
+    table.tick(last + CRASH_RETENTION_SECONDS - 1)
     assert table.may_know(FATAL.content[:16])
-    table.tick(last + FORGET_SECONDS + 1)
+    table.tick(last + CRASH_RETENTION_SECONDS + 1)
     assert not table.may_know(FATAL.content[:16])
     assert not table.suspects and not table.lost.ends and not table.lost.ordered
 
@@ -277,9 +277,9 @@
 def test_what_a_refused_request_explains_is_forgotten():
     table = Quarantine()
     last = end(table, FATAL, 1, 2, 3)
-    assert table.explained and table.repeated
-    table.tick(last + FORGET_SECONDS + 1)
-    assert not table.explained and not table.repeated
+    assert table.explained_by and table.repeated_crashes
+    table.tick(last + CRASH_RETENTION_SECONDS + 1)
+    assert not table.explained_by and not table.repeated_crashes
 
 
 rows = st.builds(
@@ -333,7 +333,7 @@
     assert table.merge(known, NOW) == []
 
 
-@pytest.mark.parametrize("ends", [ENDS_MAX, ENDS_KEPT, 3 * ENDS_KEPT])
+@pytest.mark.parametrize("ends", [QUARANTINE_AFTER_CRASHES, ENDS_KEPT, 3 * ENDS_KEPT])
 def test_the_newest_ends_are_kept(ends):
     table = Quarantine()
     last = end(table, FATAL, *range(ends), gap=0.1)
