--- a/packages/core/tests/test_accounts_certainty.py
+++ b/packages/core/tests/test_accounts_certainty.py
@@ -1,4 +1,4 @@
-"""Check that no host serves a key that was taken away too long ago."""
+"""Check that no host serves a revoked key beyond the staleness bound."""
 
 import math
 
@@ -37,15 +37,15 @@
         ([("note_in_force", 3), ("note_complete", 7.0)], 3.0),
     ],
 )
-def test_a_configuration_is_as_certain_as_what_was_asked_last(steps, age):
+def test_age_counts_from_when_the_newest_verification_was_requested(steps, age):
     certainty = Certainty()
-    for name, *words in steps:
-        getattr(certainty, name)(*words)
+    for name, *arguments in steps:
+        getattr(certainty, name)(*arguments)
     assert certainty.age(10.0) == age
 
 
 @pytest.mark.parametrize(
-    ("age", "holds"),
+    ("age", "is_fresh"),
     [
         (0.0, True),
         (BOUND - CLOCK_DRIFT_SECONDS - 0.001, True),
@@ -53,24 +53,24 @@
         (BOUND, False),
     ],
 )
-def test_certainty_ends_before_the_bound(age, holds):
+def test_freshness_expires_before_the_bound(age, is_fresh):
     certainty = Certainty()
     certainty.note_in_force(1)
     certainty.note_complete(100.0)
-    assert certainty.holds(100.0 + age, BOUND) is holds
+    assert certainty.holds(100.0 + age, BOUND) is is_fresh
 
 
 class Host:
-    """One lifetime of a host; ``ahead`` is what its clock shows beside the others'."""
+    """One incarnation of a host, its clock ``clock_offset`` seconds ahead."""
 
-    def __init__(self, certainty: Certainty, ahead: float) -> None:
+    def __init__(self, certainty: Certainty, clock_offset: float) -> None:
         self.certainty = certainty
-        self.ahead = ahead
-        self.waiting = 0
+        self.clock_offset = clock_offset
+        self.pending = 0
 
 
 class Call:
-    """A question on its way, to the store or to a peer, and its answer."""
+    """A request in flight, to the store or to a peer, and its answer."""
 
     def __init__(self, host: Host, peer: Host | None, asked_at: float) -> None:
         self.host = host
@@ -84,7 +84,7 @@
 class KeysMachine(RuleBasedStateMachine):
     """Write, ask, answer, load and restart in any order, with any pause in between.
 
-    A pause within a call is also a host that stands still or a link that is slow.
+    A pause within a call stands for a paused host or a slow link.
     """
 
     create_certainty = Certainty
@@ -100,7 +100,7 @@
         return Host(type(self).create_certainty(), number * 50.0)
 
     def clock(self, host: Host) -> float:
-        return self.now + host.ahead
+        return self.now + host.clock_offset
 
     @rule(seconds=st.sampled_from([0.1, 1.0, 2.5, 6.0]))
     def wait(self, seconds: float) -> None:
@@ -125,9 +125,9 @@
 
     @rule(data=st.data())
     def answer_one(self, data: st.DataObject) -> None:
-        waiting = [call for call in self.calls if not call.answered]
-        if waiting:
-            self.answer(data.draw(st.sampled_from(waiting)))
+        pending = [call for call in self.calls if not call.answered]
+        if pending:
+            self.answer(data.draw(st.sampled_from(pending)))
 
     @rule(data=st.data())
     def receive_one(self, data: st.DataObject) -> None:
@@ -135,18 +135,29 @@
         if answered:
             self.receive(data.draw(st.sampled_from(answered)))
 
-    @rule(name=hosts, peer=st.none() | hosts, way=pauses, back=pauses, writes=writes)
+    @rule(
+        name=hosts,
+        peer=st.none() | hosts,
+        request_pause=pauses,
+        answer_pause=pauses,
+        writes=writes,
+    )
     def ask_and_load(
-        self, name: str, peer: str | None, way: float, back: float, writes: bool
+        self,
+        name: str,
+        peer: str | None,
+        request_pause: float,
+        answer_pause: float,
+        writes: bool,
     ) -> None:
         host = self.hosts[name]
         call = Call(host, self.hosts[peer] if peer else None, self.clock(host))
         self.calls.append(call)
-        self.now += way
+        self.now += request_pause
         self.answer(call)
         if writes:
             self.write()
-        self.now += back
+        self.now += answer_pause
         self.receive(call)
         self.load(name)
 
@@ -155,15 +166,15 @@
         if call.peer is None:
             call.revision = self.written[-1][0]
             return
-        known = call.peer.certainty
-        call.revision = max(known.newest, known.active_revision)
-        call.proof = known.proof(self.clock(call.peer))
+        peer_certainty = call.peer.certainty
+        call.revision = max(peer_certainty.newest, peer_certainty.active_revision)
+        call.proof = peer_certainty.proof(self.clock(call.peer))
 
     def receive(self, call: Call) -> None:
         self.calls.remove(call)
         certainty = call.host.certainty
         if call.revision > certainty.active_revision:
-            call.host.waiting = max(call.host.waiting, call.revision)
+            call.host.pending = max(call.host.pending, call.revision)
             certainty.note(call.revision, -math.inf)
         if call.peer is None:
             certainty.note_complete(call.asked_at)
@@ -176,38 +187,40 @@
 
     def load(self, name: str) -> None:
         host = self.hosts[name]
-        if host.waiting:
-            host.certainty.note_in_force(host.waiting)
+        if host.pending:
+            host.certainty.note_in_force(host.pending)
 
     @rule(number=st.integers(0, len(HOSTS) - 1))
     def restart(self, number: int) -> None:
         self.hosts[HOSTS[number]] = self.start(number)
 
     @invariant()
-    def no_key_lives_on(self) -> None:
-        old = max(row for row, at in self.written if at <= self.now - BOUND or row == 1)
+    def no_revoked_key_is_accepted(self) -> None:
+        minimum_revision = max(
+            row for row, at in self.written if at <= self.now - BOUND or row == 1
+        )
         for host in self.hosts.values():
             if host.certainty.holds(self.clock(host), BOUND):
-                assert host.certainty.active_revision >= old
+                assert host.certainty.active_revision >= minimum_revision
 
 
-class BelievesReceipt(Certainty):
-    """Take a proof as of its arrival."""
+class UsesArrivalTime(Certainty):
+    """Take a proof as valid at its arrival, not at the time of the request."""
 
     def take(self, proof: Proof, asked_at: float) -> None:
         self.note(proof.revision, asked_at + BOUND)
 
 
-class ForgetsAge(Certainty):
-    """Pass a proof on as if it were new."""
+class OmitsAge(Certainty):
+    """Send a proof without its age."""
 
     def proof(self, now: float) -> Proof | None:
         proof = super().proof(now)
         return proof and proof._replace(age=0.0)
 
 
-class TakesKnownForLoaded(Certainty):
-    """Count what is known of a version that is still to be read."""
+class IgnoresActivation(Certainty):
+    """Apply the verification of a revision that is not loaded yet."""
 
     def _apply_newest(self) -> None:
         self.certain_at = max(self.certain_at, self.newest_verified_at)
@@ -223,16 +236,16 @@
 )
 
 
-def test_a_revoked_key_works_nowhere_after_the_bound():
+def test_no_host_accepts_a_revoked_key_after_the_bound():
     run_state_machine_as_test(KeysMachine, settings=SETTINGS)
 
 
 @pytest.mark.parametrize(
     "mutant",
-    [BelievesReceipt, ForgetsAge, TakesKnownForLoaded],
+    [UsesArrivalTime, OmitsAge, IgnoresActivation],
     ids=lambda row: row.__name__,
 )
-def test_the_machine_finds_a_broken_rule(mutant):
+def test_the_state_machine_detects_a_broken_rule(mutant):
     class Mutated(KeysMachine):
         create_certainty = mutant
 
--- a/packages/core/tests/test_accounts_limits.py
+++ b/packages/core/tests/test_accounts_limits.py
@@ -1,4 +1,4 @@
-"""Play accounts over many hosts and check their limits, and what is refused inside."""
+"""Check that limits hold in simulated clusters, and that little within is rejected."""
 
 import random
 
@@ -27,84 +27,88 @@
 SECONDS = 14.0
 
 
-def hot(account, factor=7.5, at=6.0):
+def flood_factor(account, factor=7.5, at=6.0):
     return lambda name, now: factor if name == account and now >= at else 1.0
 
 
-def lowered(name, rate, now):
+def lowered_rate(name, rate, now):
     return rate / 8 if name == "account-0" and now > 5 else rate
 
 
-def moved(now):
+def shifted_regions(now):
     return [1.0, 1.0, 1.0] if now < 6 else [0.2, 1.8, 1.0]
 
 
 CASES = {
     "calm": {},
-    "the largest floods": {"factor": hot("account-0")},
-    "a middling one floods": {"factor": hot("account-5")},
-    "a small one floods": {"factor": hot("account-19")},
-    "lowered far below what is asked": {"rate": lowered},
-    "callers move to another region": {"moves": moved},
+    "largest account floods": {"factor": flood_factor("account-0")},
+    "medium account floods": {"factor": flood_factor("account-5")},
+    "small account floods": {"factor": flood_factor("account-19")},
+    "limit lowered far below the request rate": {"rate": lowered_rate},
+    "callers move to another region": {"moves": shifted_regions},
     "ledgers restart": {"faults": (Fault("restart last", 6.0, 1.0, 0.1),)},
     "a third cut off beside a flood": {
-        "factor": hot("account-0"),
+        "factor": flood_factor("account-0"),
         "faults": (Fault("cut", 6.0, 9.0, 0.3),),
     },
     "all killed in a flood": {
-        "factor": hot("account-0"),
+        "factor": flood_factor("account-0"),
         "faults": (Fault("restart", 8.0, 1.0, 1.0),),
     },
     "half killed in a flood": {
-        "factor": hot("account-5"),
+        "factor": flood_factor("account-5"),
         "faults": (Fault("restart", 8.0, 2.0, 0.55),),
     },
 }
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_no_account_runs_more_than_its_limit_over_all_hosts(case):
-    """Guards against hosts that each keep a limit and break it together."""
+def test_no_account_exceeds_its_limit_over_all_hosts(case):
+    """Guards against hosts that each keep a limit and exceed it together."""
     outcomes = AccountsWorld(USUAL, hosts=30, **CASES[case]).run(SECONDS)
     assert total(outcomes)["over"] <= 0
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_limit_holds_while_its_ledgers_are_killed_twice_in_a_flood(seed):
-    """Guards against ledgers that have just begun and tell hosts to admit all."""
+    """Guards against newly started ledgers that tell hosts to admit everything."""
     faults = (
         Fault("restart last", 8.0, 1.0, 0.55),
         Fault("restart last", 12.0, 0.7, 1.0),
     )
     world = AccountsWorld(
-        USUAL, hosts=30, seed=seed, faults=faults, factor=hot("account-1", at=7.0)
+        USUAL,
+        hosts=30,
+        seed=seed,
+        faults=faults,
+        factor=flood_factor("account-1", at=7.0),
     )
     assert total(world.run(15.0))["over"] <= 0
 
 
 @pytest.mark.parametrize("case", ["calm", "callers move to another region"])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_what_lies_inside_the_limits_is_admitted(case, seed):
-    """Guards against parts too small for the request that comes to a host."""
+def test_requests_within_the_limits_are_admitted(case, seed):
+    """Guards against per-host parts of a limit that are smaller than one request."""
     outcomes = AccountsWorld(USUAL, hosts=30, seed=seed, **CASES[case]).run(SECONDS)
     assert total(outcomes)["refused"] < 0.002
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_ledgers_that_are_lost_cost_little_of_what_lies_inside(seed):
-    """Guards against a region that is taken for cut off when its ledger changes."""
+def test_ledger_restarts_reject_few_requests_within_the_limits(seed):
+    """Guards against taking a region for cut off when its ledger changes."""
     faults = CASES["ledgers restart"]
     outcomes = AccountsWorld(USUAL, hosts=30, seed=seed, **faults).run(SECONDS)
     assert total(outcomes)["refused"] < 0.02
 
 
-def test_hosts_that_are_seldom_asked_are_not_taken_for_silent():
-    """Guards against limits that are held back for hosts that are only idle."""
+def test_idle_hosts_are_not_taken_for_silent():
+    """Guards against reserving parts of limits for hosts that are only idle."""
     outcomes = AccountsWorld(long_tail(40, 100.0), hosts=60).run(SECONDS)
     assert total(outcomes)["refused"] < 0.002
 
 
-def test_told_shares_refuse_less_inside_than_parts_of_each_host():
+def test_shares_from_ledgers_reject_less_within_limits_than_parts_per_host():
     refused = {
         way: total(AccountsWorld(USUAL, hosts=30, way=way).run(SECONDS))["refused"]
         for way in (SHARES, PARTS, EVEN)
@@ -116,7 +120,7 @@
 ACCOUNTS = {"a": SMALL}
 
 
-def reported(ledger, now, asked, admitted, host="h", started=1, *, summed=False):
+def take_report(ledger, now, asked, admitted, host="h", started=1, *, summed=False):
     rows = [UsageRow("a", asked, admitted)]
     ledger.take(UsageReport(host, started, rows, summed), ACCOUNTS, now)
 
@@ -134,63 +138,63 @@
 def test_a_share_follows_what_was_admitted(reports, share):
     ledger = UsageLedger(5.0)
     for now, asked, admitted in reports:
-        reported(ledger, now, asked, admitted)
+        take_report(ledger, now, asked, admitted)
     assert ledger.limit(SMALL, now).share == pytest.approx(share, abs=0.01)
 
 
-def test_a_host_that_falls_silent_keeps_its_part_of_the_limit():
-    """Guards against the others using what a host that is cut off goes on using."""
+def test_the_part_of_a_silent_host_stays_reserved():
+    """Guards against granting other hosts what a cut-off host still uses."""
     ledger = UsageLedger(5.0, BOUNDS)
     used = {"h": 0.0, "silent": 0.0}
     for host in used:
-        reported(ledger, 0.0, 0, 0, host)
+        take_report(ledger, 0.0, 0, 0, host)
     for step in range(1, 30):
         now = step * 0.2
         ledger.tick(ACCOUNTS, now)
         share = ledger.limit(SMALL, now).share
         if now < 3:
             used["silent"] += 8 * share
-            reported(ledger, now, 8 * step, round(used["silent"]), "silent")
+            take_report(ledger, now, 8 * step, round(used["silent"]), "silent")
         before = used["h"]
         used["h"] += 8 * share
-        reported(ledger, now, 8 * step, round(used["h"]), "h")
-    given = (used["h"] - before) / 0.2
-    assert 1.0 < given <= BOUNDS.rate(SMALL) / 2 * 1.2
+        take_report(ledger, now, 8 * step, round(used["h"]), "h")
+    granted = (used["h"] - before) / 0.2
+    assert 1.0 < granted <= BOUNDS.rate(SMALL) / 2 * 1.2
 
 
-def test_what_was_reported_elsewhere_is_not_counted_again():
-    """Guards against limits that are used up by hosts that change their ledger."""
+def test_usage_reported_to_another_ledger_is_not_counted_again():
+    """Guards against counting usage twice when a host changes its ledger."""
     ledger = UsageLedger(5.0)
-    reported(ledger, 0.0, 0, 0)
+    take_report(ledger, 0.0, 0, 0)
     rows = [UsageRow("a", 500, 500)]
     report = UsageReport("h", 1, rows)
     ledger.take(report, ACCOUNTS, 1.0, answered_here=False)
     assert ledger.limit(SMALL, 1.0).share == 1.0
-    reported(ledger, 2.0, 501, 501)
+    take_report(ledger, 2.0, 501, 501)
     assert ledger.uses["a"].level == pytest.approx(9.0)
 
 
-def test_sums_and_own_reports_of_a_ledger_are_counted_apart():
-    """Guards against sums that are taken for what their ledger was asked itself."""
+def test_sums_and_own_reports_of_a_ledger_are_counted_separately():
+    """Guards against confusing a ledger's sums with its own host's requests."""
     ledger = UsageLedger(5.0)
-    reported(ledger, 0.0, 0, 0, summed=True)
-    reported(ledger, 0.0, 0, 0)
-    reported(ledger, 1.0, 3, 3, summed=True)
-    reported(ledger, 1.0, 1, 1)
+    take_report(ledger, 0.0, 0, 0, summed=True)
+    take_report(ledger, 0.0, 0, 0)
+    take_report(ledger, 1.0, 3, 3, summed=True)
+    take_report(ledger, 1.0, 1, 1)
     assert ledger.uses["a"].asked.read(1.0) == pytest.approx(4 / 0.5)
 
 
-def test_an_account_that_is_over_is_told_to_hosts_that_were_not_asked_for_it():
+def test_limits_include_accounts_over_their_limit_that_were_not_reported():
     ledger = UsageLedger(5.0)
-    reported(ledger, 0.0, 0, 0)
-    reported(ledger, 1.0, 100, 100)
+    take_report(ledger, 0.0, 0, 0)
+    take_report(ledger, 1.0, 100, 100)
     assert [row.share < 1 for row in ledger.limits(ACCOUNTS, ["a"], 1.0)] == [True]
     assert [row.account for row in ledger.limits(ACCOUNTS, [], 1.1)] == ["a"]
     assert [row.share for row in ledger.limits(ACCOUNTS, [], 60.0)] == [1.0]
     assert ledger.limits(ACCOUNTS, [], 60.1) == []
 
 
-def test_rows_that_were_not_answered_are_reported_again():
+def test_unanswered_rows_are_reported_again():
     gate = AccountGate(random.Random(1))
     gate.admit(SMALL, 1.0)
     rows = gate.report()
@@ -203,15 +207,15 @@
 @pytest.mark.parametrize(
     ("told", "now", "admitted"),
     [
-        # Until told anew, no more than the whole bucket and what is not given out.
+        # Until the next answer, at most the full bucket and the reserve.
         ([LimitRow("a", 1.0, 20.0)], 1.5, 21),
         ([LimitRow("a", 0.0, 20.0)], 1.5, 0),
         ([], 1.5, 21),
-        # Told too long ago: its part of the limit is a fiftieth of a request.
+        # The answer has expired: the host's part of the limit is 1/50 of a request.
         ([LimitRow("a", 1.0, 200.0)], 9.0, 0),
     ],
 )
-def test_a_host_admits_what_it_was_told(told, now, admitted):
+def test_a_host_admits_by_the_last_answer(told, now, admitted):
     gate = AccountGate(random.Random(1))
     gate.hosts = 50
     gate.told([], 0.8, 0.8)
@@ -222,8 +226,8 @@
     assert all(row.retry_seconds > 0 for row in results if not row.admitted)
 
 
-def test_hosts_that_are_told_nothing_admit_the_limit_together_not_one_each():
-    """Guards against a small account that asks once at each of many hosts."""
+def test_hosts_without_answers_admit_one_limit_in_total():
+    """Guards against a small account that sends one request to each of many hosts."""
     admitted = 0
     for number in range(200):
         gate = AccountGate(random.Random(number))
@@ -234,15 +238,15 @@
 
 @pytest.mark.parametrize("requests_per_second", [0.5, 5.0, 50.0, 500.0])
 @pytest.mark.parametrize("bounds", [STRICT, BOUNDS, LimitBounds(1.0, 0.0, 5.0)])
-def test_what_is_given_out_stays_below_the_bound(requests_per_second, bounds):
+def test_granted_rate_and_reserve_stay_below_the_bound(requests_per_second, bounds):
     account = Account(
         name="a", requests_per_second=requests_per_second, burst=requests_per_second
     )
-    given = bounds.rate(account) * bounds.window_seconds + account.burst
-    assert given + bounds.reserve(account) <= bounds.most(account) + 1e-9
+    granted = bounds.rate(account) * bounds.window_seconds + account.burst
+    assert granted + bounds.reserve(account) <= bounds.most(account) + 1e-9
 
 
-def test_a_host_on_a_full_link_goes_on_for_longer_by_what_it_was_told():
+def test_answers_stay_valid_for_longer_on_a_full_link():
     gate = AccountGate(random.Random(1))
     gate.hosts = 50
     gate.told([], 0.0, 0.0)
--- a/packages/core/tests/test_quarantine_fingerprint.py
+++ b/packages/core/tests/test_quarantine_fingerprint.py
@@ -29,16 +29,16 @@
         ((*SAME[:3], None), False),
     ],
 )
-def test_content_is_what_a_server_answers_from(other, same):
+def test_content_covers_what_an_answer_depends_on(other, same):
     assert (content(*SAME) == content(*other)) is same
 
 
-def test_no_body_and_an_empty_one_are_alike():
+def test_missing_and_empty_bodies_have_the_same_content():
     assert content(*SAME[:3], None) == content(*SAME[:3], b"")
 
 
 @pytest.mark.parametrize(
     "other", [("10.0.0.2", "k=1"), ("10.0.0.1", "k=2"), ("10.0.0.1k", "=1")]
 )
-def test_callers_differ_by_address_and_credentials(other):
+def test_caller_covers_address_and_credentials(other):
     assert hash_caller("10.0.0.1", "k=1") != hash_caller(*other)
