--- a/measure/request_quarantine.py
+++ b/measure/request_quarantine.py
@@ -19,7 +19,7 @@
     hash_head,
 )
 from greengagepoint.quarantine.quarantine import SUSPECTS_MAX, Quarantine
-from greengagepoint.quarantine.tables import ENDS_KEPT, ServerRun
+from greengagepoint.quarantine.tables import CRASHES_KEPT, ServerIncarnation
 from greengagepoint_node.gateway.quarantine_sync import FANOUT, ROWS_MAX
 from measure.figure import Figure
 from measure.runner import is_quick
@@ -44,7 +44,9 @@
     table = full_table()
     suspect = Fingerprint(f"{0:032}", "caller")
     whole = _microseconds(_hash_whole)
-    head = _microseconds(lambda: table.may_know(hash_head("a.example", "POST", "/1/2")))
+    head = _microseconds(
+        lambda: table.has_suspect_head(hash_head("a.example", "POST", "/1/2"))
+    )
     standing = _microseconds(lambda: table.standing(suspect, 1.0))
     return [
         Figure("check of a request", head, "µs", whole, "hash all of it"),
@@ -57,10 +59,12 @@
     table = Quarantine()
     for number in range(SUSPECTS_MAX):
         fingerprint = Fingerprint(f"{number:032}", "caller")
-        table.note_end(fingerprint, ServerRun(f"i-{number:010}", number), 0.0)
-    for number in range(ENDS_KEPT):
+        table.note_end(fingerprint, ServerIncarnation(f"i-{number:010}", number), 0.0)
+    for number in range(CRASHES_KEPT):
         fingerprint = Fingerprint(f"{0:032}", "caller")
-        table.note_end(fingerprint, ServerRun(f"i-{number:010}", number), 1.0 * number)
+        table.note_end(
+            fingerprint, ServerIncarnation(f"i-{number:010}", number), 1.0 * number
+        )
     return table
 
 
--- a/packages/core/greengagepoint/accounts/bounds.py
+++ b/packages/core/greengagepoint/accounts/bounds.py
@@ -20,7 +20,7 @@
     overshoot: float = 0.0
     slack: float = 0.0
 
-    def most(self, account: Account) -> float:
+    def max_requests(self, account: Account) -> float:
         """Return the maximum number of requests of an account in a window."""
         rate, burst = account.requests_per_second, account.burst
         allowed = rate * self.window_seconds + burst
@@ -32,12 +32,12 @@
         For a small account the slack allows several times its rate; rejecting requests
         within it would cost callers without need.
         """
-        granted = GRANTED_FRACTION * self.most(account) - account.burst
+        granted = GRANTED_FRACTION * self.max_requests(account) - account.burst
         return max(0.0, granted / self.window_seconds)
 
     def reserve(self, account: Account) -> float:
         """Return the requests in a window that are not granted."""
-        return (1 - GRANTED_FRACTION) * self.most(account)
+        return (1 - GRANTED_FRACTION) * self.max_requests(account)
 
 
 STRICT: Final = LimitBounds()
--- a/packages/core/greengagepoint/accounts/certainty.py
+++ b/packages/core/greengagepoint/accounts/certainty.py
@@ -27,14 +27,14 @@
     age: float
 
 
-class Certainty:
+class ConfigFreshness:
     """Track the newest and the active configuration, and when each was verified."""
 
     def __init__(self) -> None:
         self.active_revision = 0
         self.newest = 0
         self.newest_verified_at = NEVER
-        self.certain_at = NEVER
+        self.verified_at = NEVER
 
     def note(self, revision: int, at: float) -> None:
         """Record that a revision was the newest at a time.
@@ -42,7 +42,7 @@
         A newer revision that is not active yet proves nothing about the active one.
         """
         if revision <= self.active_revision:
-            self.certain_at = max(self.certain_at, at)
+            self.verified_at = max(self.verified_at, at)
         if revision > self.newest:
             self.newest, self.newest_verified_at = revision, at
         elif revision == self.newest:
@@ -67,19 +67,19 @@
 
         Return None while this host has not verified it at all.
         """
-        if self.certain_at == NEVER:
+        if self.verified_at == NEVER:
             return None
-        return Proof(self.active_revision, max(0.0, now - self.certain_at))
+        return Proof(self.active_revision, max(0.0, now - self.verified_at))
 
     def age(self, now: float) -> float:
         """Return the seconds since the active configuration was last verified."""
-        return now - self.certain_at
+        return now - self.verified_at
 
-    def holds(self, now: float, seconds_max: float) -> bool:
+    def is_fresh(self, now: float, seconds_max: float) -> bool:
         """Return True if the active configuration is at most ``seconds_max`` stale."""
         return self.age(now) <= seconds_max - CLOCK_DRIFT_SECONDS
 
     def _apply_newest(self) -> None:
         """Apply the newest revision's verification once that revision is active."""
         if self.active_revision >= self.newest:
-            self.certain_at = max(self.certain_at, self.newest_verified_at)
+            self.verified_at = max(self.verified_at, self.newest_verified_at)
--- a/packages/core/greengagepoint/accounts/gate.py
+++ b/packages/core/greengagepoint/accounts/gate.py
@@ -12,10 +12,10 @@
 from greengagepoint.protocols import Random
 
 # Limits from a ledger expire after this; the host then enforces its own part locally.
-TOLD_SECONDS: Final = 0.7
+LIMITS_VALID_SECONDS: Final = 0.7
 # Answers take longer on a saturated link. The ledger reserves the part of a host that
 # reports too rarely, so what that host admits meanwhile is accounted for.
-FULL_LINK_TOLD_SECONDS: Final = 2.5
+FULL_LINK_LIMITS_VALID_SECONDS: Final = 2.5
 # Averaging time of a host's part of an account's requests. The host keeps the last
 # value while it gets no answers.
 PART_AVERAGE_SECONDS: Final = 2.0
@@ -29,7 +29,7 @@
 class Admission(NamedTuple):
     """Whether a request is admitted, and the state the decision was based on.
 
-    ``share`` is the admission probability from the ledger, ``told_age`` its age in
+    ``share`` is the admission probability from the ledger, ``limits_age`` its age in
     seconds. ``part`` is this host's part of the limit, set if it decided without a
     current answer from the ledger.
     """
@@ -37,7 +37,7 @@
     admitted: bool
     share: float | None = None
     part: float | None = None
-    told_age: float = 0.0
+    limits_age: float = 0.0
     retry_seconds: float = 0.0
 
 
@@ -66,8 +66,8 @@
         self.random = random
         self.bounds = bounds
         self.hosts = 1
-        self.told_seconds = TOLD_SECONDS
-        self.told_at = float("-inf")
+        self.limits_valid_seconds = LIMITS_VALID_SECONDS
+        self.limits_requested_at = float("-inf")
         self.uses: dict[str, LocalUsage] = {}
         self.changed: set[str] = set()
 
@@ -88,8 +88,8 @@
         """Decide whether a request is within its account's limit."""
         if not account.limited:
             return Admission(admitted=True)
-        age = now - self.told_at
-        if age > self.told_seconds:
+        age = now - self.limits_requested_at
+        if age > self.limits_valid_seconds:
             return self._decide_locally(account, use, now)
         use.local_bucket = None
         # Until the next answer, no single host may admit more than the account's
@@ -119,7 +119,11 @@
         rate = part * self.bounds.rate(account)
         wait = take(use.local_bucket, rate, burst, now)
         return Admission(
-            not wait, None, part, now - self.told_at, _clamp_retry_seconds(wait)
+            not wait,
+            None,
+            part,
+            now - self.limits_requested_at,
+            _clamp_retry_seconds(wait),
         )
 
     def _round_randomly(self, tokens: float) -> int:
@@ -129,25 +133,25 @@
     @property
     def unanswered(self) -> bool:
         """Return True if no report was answered since this host started."""
-        return self.told_at == float("-inf")
+        return self.limits_requested_at == float("-inf")
 
     def report(self) -> list[UsageRow]:
         """Return the rows that changed since the last report, and clear the changes.
 
-        The rows are copies, as this host keeps updating its own. Call ``take_back`` if
-        no ledger answers.
+        The rows are copies, as this host keeps updating its own. Call
+        ``report_again`` if no ledger answers.
         """
         names, self.changed = self.changed, set()
         rows = (self.uses[name].row for name in names)
         return [UsageRow(row.account, row.asked, row.admitted) for row in rows]
 
-    def take_back(self, rows: Iterable[UsageRow]) -> None:
+    def report_again(self, rows: Iterable[UsageRow]) -> None:
         """Mark rows to be reported again because no ledger answered."""
         self.changed.update(row.account for row in rows)
 
     def told(self, limits: Iterable[LimitRow], asked_at: float, now: float) -> None:
         """Apply the answer to a report that was sent at ``asked_at``."""
-        self.told_at = max(self.told_at, asked_at)
+        self.limits_requested_at = max(self.limits_requested_at, asked_at)
         shares = {row.account: row for row in limits}
         for name, use in self.uses.items():
             row = shares.get(name)
--- a/packages/core/greengagepoint/accounts/ledger.py
+++ b/packages/core/greengagepoint/accounts/ledger.py
@@ -41,14 +41,14 @@
 
 @dataclass(slots=True)
 class AccountUsage:
-    """The usage of one account; ``level`` is the token count of its bucket.
+    """The usage of one account; ``tokens`` is the fill level of its bucket.
 
     ``reporting_part`` is the part of the limit that hosts use which still report; the
     rest is reserved for silent hosts. ``over_since`` is infinite while all requests are
     admitted.
     """
 
-    level: float
+    tokens: float
     filled_at: float
     full_rate: float
     reporting_part: float = 1.0
@@ -59,7 +59,7 @@
     def fill(self, account: Account, now: float) -> None:
         """Add the tokens gained since the last call, up to the burst."""
         gained = self.rate * max(0.0, now - self.filled_at)
-        self.level = min(account.burst, self.level + gained)
+        self.tokens = min(account.burst, self.tokens + gained)
         self.filled_at = now
 
     def reserve_for_silent(
@@ -75,7 +75,7 @@
         released = part - self.reporting_part
         self.reporting_part = part
         if released > 0 or now - self.over_since < LIMIT_KNOWN_SECONDS:
-            self.level = min(account.burst, self.level + released * account.burst)
+            self.tokens = min(account.burst, self.tokens + released * account.burst)
 
     @property
     def rate(self) -> float:
@@ -183,7 +183,7 @@
             return
         use = self._usage(account, now)
         use.fill(account, now)
-        use.level -= admitted
+        use.tokens -= admitted
         use.asked.add(asked, now)
         use.asked_recently.add(asked, now)
         rate = reporter.asked.setdefault(row.account, Rate(PART_AVERAGE_SECONDS))
@@ -215,7 +215,7 @@
         asked = use.asked.read(now)
         if not account.limited or asked < RATE_MIN:
             return LimitRow(account.name, 1.0, asked)
-        available = use.rate + use.level / TOKEN_GRANT_SECONDS
+        available = use.rate + use.tokens / TOKEN_GRANT_SECONDS
         share = min(1.0, max(0.0, available / asked))
         if share < 1.0:
             use.over_since = min(use.over_since, now)
--- a/packages/core/greengagepoint/quarantine/quarantine.py
+++ b/packages/core/greengagepoint/quarantine/quarantine.py
@@ -18,13 +18,13 @@
     QUARANTINE_AFTER_CRASHES,
     CrashMoment,
     counted_crashes,
-    refused_until,
+    quarantined_until,
 )
 from greengagepoint.quarantine.tables import (
-    ENDS_KEPT,
+    CRASHES_KEPT,
     FREE,
     CrashKey,
-    ServerRun,
+    ServerIncarnation,
     Standing,
     Suspect,
     Verdict,
@@ -51,11 +51,11 @@
         self.heads: Counter[str] = Counter()
         self.lost = LostServers()
         # Crashes caused by a quarantined request, with the content of that request.
-        self.explained_by: dict[ServerRun, str] = {}
+        self.explained_by: dict[ServerIncarnation, str] = {}
         # Crashes with a request in flight that was in flight at other crashes too.
-        self.repeated_crashes: set[ServerRun] = set()
+        self.repeated_crashes: set[ServerIncarnation] = set()
 
-    def may_know(self, head: str) -> bool:
+    def has_suspect_head(self, head: str) -> bool:
         """Return True if a content with this head may be suspected."""
         return head in self.heads
 
@@ -68,7 +68,7 @@
         if len(times) < ISOLATE_AFTER_CRASHES:
             return FREE
         ends, last = len(times), now - times[-1]
-        until = refused_until(times)
+        until = quarantined_until(times)
         if until > now:
             return Standing(Verdict.QUARANTINED, until - now, ends, last)
         if suspect.trials or suspect.trial_until > now:
@@ -76,11 +76,13 @@
             return Standing(Verdict.WAITS, remaining, ends, last)
         return Standing(Verdict.ALONE, 0.0, ends, last)
 
-    def note_end(self, fingerprint: Fingerprint, run: ServerRun, now: float) -> bool:
+    def note_end(
+        self, fingerprint: Fingerprint, incarnation: ServerIncarnation, now: float
+    ) -> bool:
         """Record a server crash with a request in flight; return True if it is new."""
         content = fingerprint.content
-        run = self._distinct_incarnation(run, now)
-        has_changed = self._add(content, CrashKey(run, fingerprint.caller), now)
+        incarnation = self._distinct_incarnation(incarnation, now)
+        has_changed = self._add(content, CrashKey(incarnation, fingerprint.caller), now)
         if has_changed:
             self.suspects[content].changed_at = now
             self._clear_bystanders(content, now)
@@ -99,7 +101,7 @@
             key.caller
             for key in suspect.unsettled()
             if key.caller != fingerprint.caller
-            and refused_until(self._crash_times_of(suspect, key.caller)) > now
+            and quarantined_until(self._crash_times_of(suspect, key.caller)) > now
         }
         return self._settle(
             suspect, lambda key: key.caller not in quarantined_callers, now
@@ -131,19 +133,20 @@
         Each maps to the seconds that its quarantine still lasts, 0 if it may be tried.
         """
         return {
-            content: max(0.0, self.refused_until(content) - now)
+            content: max(0.0, self.quarantined_until(content) - now)
             for content, suspect in self.suspects.items()
             if self._max_crashes(suspect) >= ISOLATE_AFTER_CRASHES
         }
 
-    def refused_until(self, content: str) -> float:
+    def quarantined_until(self, content: str) -> float:
         """Return until when a content is quarantined for some caller."""
         suspect = self.suspects.get(content)
         if suspect is None or len(suspect.unsettled()) < QUARANTINE_AFTER_CRASHES:
             return float("-inf")
         callers = {key.caller for key in suspect.unsettled()}
         return max(
-            refused_until(self._counted_times(suspect, caller)) for caller in callers
+            quarantined_until(self._counted_times(suspect, caller))
+            for caller in callers
         )
 
     def merge(self, rows: Iterable[SharedSuspect], now: float) -> list[str]:
@@ -186,26 +189,28 @@
             if now - newest > CRASH_RETENTION_SECONDS:
                 self._remove(content)
         self.lost.remove_before(now - CRASH_RETENTION_SECONDS)
-        for run in self.explained_by.keys() - self.lost.ends.keys():
-            del self.explained_by[run]
+        for incarnation in self.explained_by.keys() - self.lost.ends.keys():
+            del self.explained_by[incarnation]
         self.repeated_crashes &= self.lost.ends.keys()
 
-    def _distinct_incarnation(self, run: ServerRun, now: float) -> ServerRun:
+    def _distinct_incarnation(
+        self, incarnation: ServerIncarnation, now: float
+    ) -> ServerIncarnation:
         """Return a distinct incarnation in place of one that has crashed before.
 
         While the store is down, hosts are not told that a server has restarted. Its
         later crashes would otherwise count as one.
         """
-        ended_at = self.lost.ends.get(run)
+        ended_at = self.lost.ends.get(incarnation)
         if ended_at is None or now - ended_at < SAME_CRASH_SECONDS:
-            return run
-        return run._replace(born=run.born + int(now - ended_at))
+            return incarnation
+        return incarnation._replace(born=incarnation.born + int(now - ended_at))
 
     def _merge_one(self, row: SharedSuspect, now: float) -> bool:
         """Merge a peer's state of one content; return True if anything changed."""
         has_changed = False
-        for crash in row.ends[:ENDS_KEPT]:
-            key = CrashKey(ServerRun(crash.instance, crash.born), crash.caller)
+        for crash in row.ends[:CRASHES_KEPT]:
+            key = CrashKey(ServerIncarnation(crash.instance, crash.born), crash.caller)
             at = now - crash.age_ms / 1000
             has_changed |= self._add(row.content, key, at, settled=crash.settled)
         suspect = self.suspects[row.content]
@@ -221,14 +226,16 @@
         self, content: str, key: CrashKey, at: float, *, settled: bool = False
     ) -> bool:
         """Add a crash to a request's suspect; return True if anything changed."""
-        self.lost.record(key.run, at)
+        self.lost.record(key.incarnation, at)
         suspect = self._get_or_create_suspect(content)
         if key not in suspect.ends:
-            settled = settled or self.explained_by.get(key.run, content) != content
+            settled = (
+                settled or self.explained_by.get(key.incarnation, content) != content
+            )
         has_changed = suspect.add(key, at, settled=settled)
-        runs = {crash_key.run for crash_key in suspect.ends}
-        if len(runs) >= ISOLATE_AFTER_CRASHES:
-            self.repeated_crashes |= runs
+        incarnations = {crash_key.incarnation for crash_key in suspect.ends}
+        if len(incarnations) >= ISOLATE_AFTER_CRASHES:
+            self.repeated_crashes |= incarnations
         return has_changed
 
     def _max_crashes(self, suspect: Suspect) -> int:
@@ -252,7 +259,9 @@
             return own
         all_callers_times = self._crash_times_of(suspect, None)
         return max(
-            own, all_callers_times, key=lambda times: (refused_until(times), len(times))
+            own,
+            all_callers_times,
+            key=lambda times: (quarantined_until(times), len(times)),
         )
 
     def _crash_times_of(self, suspect: Suspect, caller: str | None) -> list[float]:
@@ -262,31 +271,31 @@
         crashes probably share a cause, unless another request that was in flight at
         several crashes explains that server's.
         """
-        runs = {
-            key.run: crash.at
+        incarnations = {
+            key.incarnation: crash.at
             for key, crash in suspect.unsettled().items()
             if caller is None or key.caller == caller
         }
-        own = {key.run for key in suspect.ends}
+        own = {key.incarnation for key in suspect.ends}
 
-        def is_other(lost: ServerRun) -> bool:
+        def is_other(lost: ServerIncarnation) -> bool:
             return lost not in own and lost not in self.repeated_crashes
 
         return counted_crashes(
             CrashMoment(at, self.lost.has_crash_near(at, is_other))
-            for at in runs.values()
+            for at in incarnations.values()
         )
 
     def _clear_bystanders(self, content: str, now: float) -> None:
         """Clear other requests of the crashes that a quarantined request caused."""
-        if self.refused_until(content) <= now:
+        if self.quarantined_until(content) <= now:
             return
-        runs = {key.run for key in self.suspects[content].unsettled()}
-        for run in runs:
-            self.explained_by.setdefault(run, content)
+        incarnations = {key.incarnation for key in self.suspects[content].unsettled()}
+        for incarnation in incarnations:
+            self.explained_by.setdefault(incarnation, content)
         for other, suspect in self.suspects.items():
-            if other != content and self.refused_until(other) <= now:
-                self._settle(suspect, lambda key: key.run in runs, now)
+            if other != content and self.quarantined_until(other) <= now:
+                self._settle(suspect, lambda key: key.incarnation in incarnations, now)
 
     def _settle(
         self, suspect: Suspect, matches: Callable[[CrashKey], bool], now: float
@@ -327,8 +336,8 @@
     """Return the state of one content to send to peers."""
     ends = tuple(
         SharedEnd(
-            key.run.instance,
-            key.run.born,
+            key.incarnation.instance,
+            key.incarnation.born,
             key.caller,
             max(0, round((now - crash.at) * 1000)),
             crash.settled,
--- a/packages/core/greengagepoint/quarantine/rules.py
+++ b/packages/core/greengagepoint/quarantine/rules.py
@@ -13,7 +13,7 @@
 GROUPED_CRASH_SECONDS: Final = 1.0
 # Length of the first quarantine of a request and of each further one; the last value
 # repeats.
-REFUSED_SECONDS: Final = (30.0, 120.0, 480.0, 600.0)
+QUARANTINE_SECONDS: Final = (30.0, 120.0, 480.0, 600.0)
 
 
 class CrashMoment(NamedTuple):
@@ -33,7 +33,7 @@
     return times
 
 
-def refused_until(times: Iterable[float]) -> float:
+def quarantined_until(times: Iterable[float]) -> float:
     """Return until when a request with crashes at these times is quarantined.
 
     Only a crash after the quarantine has expired makes the next one longer. Crashes
@@ -45,6 +45,6 @@
         if count < QUARANTINE_AFTER_CRASHES:
             continue
         if at >= until:
-            step = min(step + 1, len(REFUSED_SECONDS) - 1)
-        until = max(until, at + REFUSED_SECONDS[step])
+            step = min(step + 1, len(QUARANTINE_SECONDS) - 1)
+        until = max(until, at + QUARANTINE_SECONDS[step])
     return until
--- a/packages/core/greengagepoint/quarantine/tables.py
+++ b/packages/core/greengagepoint/quarantine/tables.py
@@ -5,10 +5,10 @@
 from typing import Final, NamedTuple
 
 # Crashes kept per request; older ones do not change the decision.
-ENDS_KEPT: Final = 16
+CRASHES_KEPT: Final = 16
 
 
-class ServerRun(NamedTuple):
+class ServerIncarnation(NamedTuple):
     """One incarnation of a backend server, started at ``born`` Unix milliseconds."""
 
     instance: str
@@ -18,7 +18,7 @@
 class CrashKey(NamedTuple):
     """One server crash with a request of one caller in flight."""
 
-    run: ServerRun
+    incarnation: ServerIncarnation
     caller: str
 
 
@@ -64,7 +64,7 @@
             has_changed = settled and not existing.settled
             existing.settled = existing.settled or settled
             return has_changed
-        if len(self.ends) >= ENDS_KEPT:
+        if len(self.ends) >= CRASHES_KEPT:
             oldest = min(self.ends, key=lambda row: self.ends[row].at)
             if self.ends[oldest].at >= at:
                 return False
@@ -90,16 +90,16 @@
     """The quarantine's decision on a request; retry after ``retry_seconds``.
 
     ``ends`` is the number of crashes that count against the request, the last one
-    ``last_end_seconds`` ago.
+    ``last_crash_seconds`` ago.
     """
 
     verdict: Verdict
     retry_seconds: float = 0.0
     ends: int = 0
-    last_end_seconds: float = 0.0
+    last_crash_seconds: float = 0.0
 
     @property
-    def may_run(self) -> bool:
+    def can_run(self) -> bool:
         """Return True if the request may be sent to a server."""
         return self.verdict in (Verdict.FREE, Verdict.ALONE)
 
--- a/packages/core/tests/test_accounts_certainty.py
+++ b/packages/core/tests/test_accounts_certainty.py
@@ -12,7 +12,11 @@
     run_state_machine_as_test,
 )
 
-from greengagepoint.accounts.certainty import CLOCK_DRIFT_SECONDS, Certainty, Proof
+from greengagepoint.accounts.certainty import (
+    CLOCK_DRIFT_SECONDS,
+    ConfigFreshness,
+    Proof,
+)
 
 BOUND = 5.0
 HOSTS = ("a", "b", "c")
@@ -38,7 +42,7 @@
     ],
 )
 def test_age_counts_from_when_the_newest_verification_was_requested(steps, age):
-    certainty = Certainty()
+    certainty = ConfigFreshness()
     for name, *arguments in steps:
         getattr(certainty, name)(*arguments)
     assert certainty.age(10.0) == age
@@ -54,16 +58,16 @@
     ],
 )
 def test_freshness_expires_before_the_bound(age, is_fresh):
-    certainty = Certainty()
+    certainty = ConfigFreshness()
     certainty.note_in_force(1)
     certainty.note_complete(100.0)
-    assert certainty.holds(100.0 + age, BOUND) is is_fresh
+    assert certainty.is_fresh(100.0 + age, BOUND) is is_fresh
 
 
 class Host:
     """One incarnation of a host, its clock ``clock_offset`` seconds ahead."""
 
-    def __init__(self, certainty: Certainty, clock_offset: float) -> None:
+    def __init__(self, certainty: ConfigFreshness, clock_offset: float) -> None:
         self.certainty = certainty
         self.clock_offset = clock_offset
         self.pending = 0
@@ -87,7 +91,7 @@
     A pause within a call stands for a paused host or a slow link.
     """
 
-    create_certainty = Certainty
+    create_certainty = ConfigFreshness
 
     def __init__(self) -> None:
         super().__init__()
@@ -200,18 +204,18 @@
             row for row, at in self.written if at <= self.now - BOUND or row == 1
         )
         for host in self.hosts.values():
-            if host.certainty.holds(self.clock(host), BOUND):
+            if host.certainty.is_fresh(self.clock(host), BOUND):
                 assert host.certainty.active_revision >= minimum_revision
 
 
-class UsesArrivalTime(Certainty):
+class UsesArrivalTime(ConfigFreshness):
     """Take a proof as valid at its arrival, not at the time of the request."""
 
     def take(self, proof: Proof, asked_at: float) -> None:
         self.note(proof.revision, asked_at + BOUND)
 
 
-class OmitsAge(Certainty):
+class OmitsAge(ConfigFreshness):
     """Send a proof without its age."""
 
     def proof(self, now: float) -> Proof | None:
@@ -219,11 +223,11 @@
         return proof and proof._replace(age=0.0)
 
 
-class IgnoresActivation(Certainty):
+class IgnoresActivation(ConfigFreshness):
     """Apply the verification of a revision that is not loaded yet."""
 
     def _apply_newest(self) -> None:
-        self.certain_at = max(self.certain_at, self.newest_verified_at)
+        self.verified_at = max(self.verified_at, self.newest_verified_at)
 
 
 SETTINGS = settings(
--- a/packages/core/tests/test_accounts_limits.py
+++ b/packages/core/tests/test_accounts_limits.py
@@ -6,7 +6,7 @@
 
 from greengagepoint.accounts.bounds import STRICT, LimitBounds
 from greengagepoint.accounts.gate import (
-    FULL_LINK_TOLD_SECONDS,
+    FULL_LINK_LIMITS_VALID_SECONDS,
     AccountGate,
 )
 from greengagepoint.accounts.ledger import UsageLedger
@@ -171,7 +171,7 @@
     ledger.take(report, ACCOUNTS, 1.0, answered_here=False)
     assert ledger.limit(SMALL, 1.0).share == 1.0
     take_report(ledger, 2.0, 501, 501)
-    assert ledger.uses["a"].level == pytest.approx(9.0)
+    assert ledger.uses["a"].tokens == pytest.approx(9.0)
 
 
 def test_sums_and_own_reports_of_a_ledger_are_counted_separately():
@@ -199,7 +199,7 @@
     gate.admit(SMALL, 1.0)
     rows = gate.report()
     assert gate.report() == []
-    gate.take_back(rows)
+    gate.report_again(rows)
     gate.admit(SMALL, 1.1)
     assert [row.asked for row in gate.report()] == [2]
 
@@ -233,7 +233,7 @@
         gate = AccountGate(random.Random(number))
         gate.hosts = 200
         admitted += sum(gate.admit(SMALL, 1.0).admitted for _ in range(3))
-    assert 0 < admitted <= STRICT.most(SMALL)
+    assert 0 < admitted <= STRICT.max_requests(SMALL)
 
 
 @pytest.mark.parametrize("requests_per_second", [0.5, 5.0, 50.0, 500.0])
@@ -243,13 +243,13 @@
         name="a", requests_per_second=requests_per_second, burst=requests_per_second
     )
     granted = bounds.rate(account) * bounds.window_seconds + account.burst
-    assert granted + bounds.reserve(account) <= bounds.most(account) + 1e-9
+    assert granted + bounds.reserve(account) <= bounds.max_requests(account) + 1e-9
 
 
 def test_answers_stay_valid_for_longer_on_a_full_link():
     gate = AccountGate(random.Random(1))
     gate.hosts = 50
     gate.told([], 0.0, 0.0)
-    gate.told_seconds = FULL_LINK_TOLD_SECONDS
+    gate.limits_valid_seconds = FULL_LINK_LIMITS_VALID_SECONDS
     assert all(gate.admit(SMALL, 2.4).admitted for _ in range(9))
     assert not all(gate.admit(SMALL, 2.6).admitted for _ in range(20))
--- a/packages/core/tests/test_quarantine_table.py
+++ b/packages/core/tests/test_quarantine_table.py
@@ -14,12 +14,12 @@
 )
 from greengagepoint.quarantine.rules import (
     QUARANTINE_AFTER_CRASHES,
-    REFUSED_SECONDS,
+    QUARANTINE_SECONDS,
     CrashMoment,
     counted_crashes,
-    refused_until,
+    quarantined_until,
 )
-from greengagepoint.quarantine.tables import ENDS_KEPT, ServerRun, Verdict
+from greengagepoint.quarantine.tables import CRASHES_KEPT, ServerIncarnation, Verdict
 
 NOW = 100.0
 CRASHING = Fingerprint("f" * 32, "caller-1")
@@ -27,14 +27,14 @@
 HARMLESS = Fingerprint("e" * 32, "caller-1")
 
 
-def run(number):
-    return ServerRun(f"i-{number}", 1_000 + number)
+def incarnation(number):
+    return ServerIncarnation(f"i-{number}", 1_000 + number)
 
 
 def crash(table, request, *numbers, at=NOW, gap=2.0):
     """Record server crashes with a request in flight; return the time of the last."""
     for index, number in enumerate(numbers):
-        table.note_end(request, run(number), at + index * gap)
+        table.note_end(request, incarnation(number), at + index * gap)
     return at + (len(numbers) - 1) * gap
 
 
@@ -111,9 +111,9 @@
     table = Quarantine()
     for number in range(10):
         bystander = Fingerprint(f"{number:032}", "caller-1")
-        table.note_end(bystander, run(number), NOW + number / 100)
+        table.note_end(bystander, incarnation(number), NOW + number / 100)
     for number in range(4):
-        table.note_end(CRASHING, run(number), NOW + number / 100)
+        table.note_end(CRASHING, incarnation(number), NOW + number / 100)
     assert verdict(table, CRASHING, NOW + 0.2) is Verdict.FREE
 
 
@@ -130,7 +130,7 @@
     for step in range(3):
         for number, request in enumerate(crashing):
             at = NOW + 0.3 * step + 0.01 * number
-            table.note_end(request, run(step * count + number), at)
+            table.note_end(request, incarnation(step * count + number), at)
     assert {verdict(table, request, NOW + 1) for request in crashing} == {
         Verdict.QUARANTINED
     }
@@ -181,7 +181,7 @@
     table = Quarantine()
     last = crash(table, CRASHING, 1, 2, 3)
     number = 4
-    for seconds in REFUSED_SECONDS:
+    for seconds in QUARANTINE_SECONDS:
         standing = table.standing(CRASHING, last)
         assert standing.retry_seconds == pytest.approx(seconds)
         last += seconds
@@ -192,7 +192,7 @@
 
 def test_crashes_from_copies_in_flight_do_not_extend_a_quarantine():
     times = [NOW, NOW + 0.1, NOW + 0.2, NOW + 0.3, NOW + 0.4]
-    assert refused_until(times) == pytest.approx(times[-1] + REFUSED_SECONDS[0])
+    assert quarantined_until(times) == pytest.approx(times[-1] + QUARANTINE_SECONDS[0])
 
 
 @pytest.mark.parametrize(
@@ -245,7 +245,9 @@
     table = Quarantine()
     last = crash(table, CRASHING, 1, 2, 3)
     for number in range(SUSPECTS_MAX + 100):
-        table.note_end(Fingerprint(f"{number:032}", "c"), run(number), last + number)
+        table.note_end(
+            Fingerprint(f"{number:032}", "c"), incarnation(number), last + number
+        )
     assert len(table.suspects) == SUSPECTS_MAX
     assert CRASHING.content in table.suspects
     assert sum(table.heads.values()) == SUSPECTS_MAX
@@ -266,9 +268,9 @@
     table = Quarantine()
     last = crash(table, CRASHING, 1, 2)
     table.tick(last + CRASH_RETENTION_SECONDS - 1)
-    assert table.may_know(CRASHING.content[:16])
+    assert table.has_suspect_head(CRASHING.content[:16])
     table.tick(last + CRASH_RETENTION_SECONDS + 1)
-    assert not table.may_know(CRASHING.content[:16])
+    assert not table.has_suspect_head(CRASHING.content[:16])
     assert not table.suspects and not table.lost.ends and not table.lost.ordered
 
 
@@ -293,7 +295,7 @@
             st.booleans(),
         ),
         min_size=1,
-        max_size=ENDS_KEPT // 2,
+        max_size=CRASHES_KEPT // 2,
         unique_by=lambda row: (row.instance, row.caller),
     ).map(tuple),
 )
@@ -331,11 +333,13 @@
     assert table.merge(known, NOW) == []
 
 
-@pytest.mark.parametrize("ends", [QUARANTINE_AFTER_CRASHES, ENDS_KEPT, 3 * ENDS_KEPT])
+@pytest.mark.parametrize(
+    "ends", [QUARANTINE_AFTER_CRASHES, CRASHES_KEPT, 3 * CRASHES_KEPT]
+)
 def test_the_newest_crashes_are_kept(ends):
     table = Quarantine()
     last = crash(table, CRASHING, *range(ends), gap=0.1)
     kept = table.suspects[CRASHING.content].ends
-    assert len(kept) == min(ends, ENDS_KEPT)
+    assert len(kept) == min(ends, CRASHES_KEPT)
     assert max(row.at for row in kept.values()) == pytest.approx(last)
     assert verdict(table, CRASHING, last) is Verdict.QUARANTINED
--- a/packages/node/greengagepoint_node/gateway/caller_accounts.py
+++ b/packages/node/greengagepoint_node/gateway/caller_accounts.py
@@ -5,7 +5,7 @@
 
 from aiohttp import hdrs, web
 
-from greengagepoint.accounts.certainty import Certainty
+from greengagepoint.accounts.certainty import ConfigFreshness
 from greengagepoint.accounts.gate import AccountGate
 from greengagepoint.accounts.tables import Account
 from greengagepoint.errors import ErrorKind
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        certainty: Certainty,
+        certainty: ConfigFreshness,
         gate: AccountGate,
         clock: Clock,
         is_current: Callable[[], bool],
@@ -74,7 +74,7 @@
             "limit": account.requests_per_second,
             "share": _rounded(admission.share),
             "part": _rounded(admission.part),
-            "told_age": _rounded(admission.told_age),
+            "told_age": _rounded(admission.limits_age),
         }
         reason = "the account is over its limit"
         retry_after = admission.retry_seconds
@@ -88,7 +88,7 @@
         """Tell whether no key of the configuration was taken away too long ago."""
         if self.revoke_seconds is None:
             return True
-        return self.certainty.holds(self.clock.monotonic(), self.revoke_seconds)
+        return self.certainty.is_fresh(self.clock.monotonic(), self.revoke_seconds)
 
     def _uncertain(self, table: RouteTable) -> Refusal:
         """Return the refusal while this host can't know which keys still hold."""
--- a/packages/node/greengagepoint_node/gateway/daemon.py
+++ b/packages/node/greengagepoint_node/gateway/daemon.py
@@ -11,8 +11,8 @@
 from aiohttp import web
 
 from greengagepoint.accounts.gate import (
-    FULL_LINK_TOLD_SECONDS,
-    TOLD_SECONDS,
+    FULL_LINK_LIMITS_VALID_SECONDS,
+    LIMITS_VALID_SECONDS,
     AccountGate,
 )
 from greengagepoint.accounts.ledger import UsageLedger
@@ -388,7 +388,9 @@
             self.retries.hosts = max(len(names), len(self.view.hosts))
             self.gate.hosts = self.retries.hosts
             full = self.reports.link_is_full = self.gossip.link_is_full()
-            self.gate.told_seconds = FULL_LINK_TOLD_SECONDS if full else TOLD_SECONDS
+            self.gate.limits_valid_seconds = (
+                FULL_LINK_LIMITS_VALID_SECONDS if full else LIMITS_VALID_SECONDS
+            )
             self.reports.near_hosts = len(near)
             await asyncio.sleep(TICK_SECONDS)
             self.counters.loop_lag.add(self.clock.monotonic() - now - TICK_SECONDS)
@@ -398,11 +400,11 @@
         now = self.clock.monotonic()
         view = self.view
         known = view.servers.servers.values()
-        certain_at = view.certainty.certain_at
+        verified_at = view.certainty.verified_at
         return Gauges(
             configuration_version=view.routes.version if view.routes else 0,
             configuration_age_seconds=_age(view.configured_at, now),
-            configuration_certainty_age_seconds=_age(certain_at, now),
+            configuration_certainty_age_seconds=_age(verified_at, now),
             store_contact_age_seconds=_age(self.follower.reached_at, now),
             store_revision=view.revision,
             backend_servers=len(known),
--- a/packages/node/greengagepoint_node/gateway/facts.py
+++ b/packages/node/greengagepoint_node/gateway/facts.py
@@ -10,7 +10,7 @@
 from greengagepoint.errors import ErrorKind, RecordError
 from greengagepoint.placing.tables import Incarnation
 from greengagepoint.quarantine.messages import SharedEnd
-from greengagepoint.quarantine.rules import REFUSED_SECONDS
+from greengagepoint.quarantine.rules import QUARANTINE_SECONDS
 from greengagepoint.routing.tables import RouteTable
 
 # Smaller ones fit into two packets. Configurations are the only large values known.
@@ -110,7 +110,7 @@
     """
 
     content: str
-    seconds: Annotated[float, Meta(ge=0, le=REFUSED_SECONDS[-1])]
+    seconds: Annotated[float, Meta(ge=0, le=QUARANTINE_SECONDS[-1])]
     ends: tuple[SharedEnd, ...]
 
 
--- a/packages/node/greengagepoint_node/gateway/handler.py
+++ b/packages/node/greengagepoint_node/gateway/handler.py
@@ -208,7 +208,7 @@
             if left < SECONDS_LEFT_MIN:
                 break
             standing = self.quarantine.admit(identity, first=not tries.servers)
-            if not standing.may_run:
+            if not standing.can_run:
                 break
             if standing.alone:
                 # Requests of its key use other servers, so the next end or answer tells
--- a/packages/node/greengagepoint_node/gateway/quarantine_page.py
+++ b/packages/node/greengagepoint_node/gateway/quarantine_page.py
@@ -35,11 +35,11 @@
             {
                 "content": content,
                 "refused_seconds": round(
-                    max(0.0, table.refused_until(content) - now), 3
+                    max(0.0, table.quarantined_until(content) - now), 3
                 ),
                 "ends": [
                     {
-                        "instance": key.run.instance,
+                        "instance": key.incarnation.instance,
                         "caller": key.caller,
                         "age_seconds": round(now - end.at, 3),
                     }
--- a/packages/node/greengagepoint_node/gateway/region_reports.py
+++ b/packages/node/greengagepoint_node/gateway/region_reports.py
@@ -147,7 +147,7 @@
                 over=name in over,
                 limit=account.requests_per_second,
                 burst=account.burst,
-                left=round(use.level, 1),
+                left=round(use.tokens, 1),
                 asked=round(use.asked.read(self.clock.monotonic()), 1),
             )
         self.over = over
@@ -168,7 +168,7 @@
             if answer is not None:
                 self._take_answer(answer, asked_at)
                 return
-        self.gate.take_back(rows)
+        self.gate.report_again(rows)
 
     def _take_answer(self, answer: UsageAnswer, asked_at: float) -> None:
         """Take in what the ledger told."""
--- a/packages/node/greengagepoint_node/gateway/request_quarantine.py
+++ b/packages/node/greengagepoint_node/gateway/request_quarantine.py
@@ -9,7 +9,7 @@
 from greengagepoint.placing.tables import Server
 from greengagepoint.protocols import Clock
 from greengagepoint.quarantine.quarantine import Quarantine
-from greengagepoint.quarantine.tables import FREE, ServerRun, Standing, Verdict
+from greengagepoint.quarantine.tables import FREE, ServerIncarnation, Standing, Verdict
 from greengagepoint_node.context import EventSink
 from greengagepoint_node.gateway.identity import RequestIdentity
 from greengagepoint_node.gateway.refusals import Refusal
@@ -40,7 +40,7 @@
             return FREE
         now = self.clock.monotonic()
         standing = self.table.standing(identity.fingerprint, now)
-        if first and not standing.may_run:
+        if first and not standing.can_run:
             raise _refusal(identity, standing)
         return standing
 
@@ -60,9 +60,9 @@
 
     def note_end(self, identity: RequestIdentity, server: Server) -> None:
         """Take in that a server ended with a request in flight."""
-        run = ServerRun(server.instance, server.born)
+        incarnation = ServerIncarnation(server.instance, server.born)
         fingerprint = identity.fingerprint
-        if self.table.note_end(fingerprint, run, self.clock.monotonic()):
+        if self.table.note_end(fingerprint, incarnation, self.clock.monotonic()):
             self.changed([fingerprint.content])
 
     def note_answer(self, identity: RequestIdentity) -> None:
@@ -75,7 +75,7 @@
 
     def _may_be_held(self, identity: RequestIdentity) -> bool:
         """Tell whether it is worth to hash a whole request; mostly nothing is held."""
-        return bool(self.table.suspects) and self.table.may_know(identity.head)
+        return bool(self.table.suspects) and self.table.has_suspect_head(identity.head)
 
     def lift(self, content: str) -> bool:
         """Clear a request on an operator's word; tell whether anything was held."""
@@ -98,7 +98,7 @@
         """Log which of some contents are refused from now on, or no more."""
         now = self.clock.monotonic()
         for content in contents:
-            until = self.table.refused_until(content)
+            until = self.table.quarantined_until(content)
             if until > now and content not in self.refused:
                 self.refused.add(content)
                 self._log(Event.REQUEST_QUARANTINED, content, round(until - now, 3))
@@ -115,7 +115,7 @@
             event,
             content=content,
             callers=sorted({key.caller for key in ends}),
-            instances=[key.run.instance for key in ends],
+            instances=[key.incarnation.instance for key in ends],
             end_ages=[round(now - end.at, 3) for end in ends.values()],
             seconds=seconds,
         )
@@ -127,7 +127,7 @@
         "content": identity.fingerprint.content,
         "caller": identity.fingerprint.caller,
         "ends": standing.ends,
-        "last_end_age": round(standing.last_end_seconds, 3),
+        "last_end_age": round(standing.last_crash_seconds, 3),
     }
     reason = REASONS[standing.verdict]
     seconds = round(standing.retry_seconds, 3)
--- a/packages/node/greengagepoint_node/gateway/server_ends.py
+++ b/packages/node/greengagepoint_node/gateway/server_ends.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from greengagepoint.placing.tables import Server
-from greengagepoint.quarantine.tables import ServerRun
+from greengagepoint.quarantine.tables import ServerIncarnation
 from greengagepoint_node.gateway.call import Call
 from greengagepoint_node.gateway.end_checks import EndChecks
 from greengagepoint_node.gateway.identity import RequestIdentity
@@ -45,6 +45,6 @@
     ) -> None:
         """Look after a server of which others tell that something is wrong."""
         await asyncio.sleep(ABANDONED_SECONDS)
-        run = ServerRun(server.instance, server.born)
+        run = ServerIncarnation(server.instance, server.born)
         if server.failures or run in self.quarantine.table.lost.ends:
             await self.async_note_broken(call, identity, server)
--- a/packages/node/greengagepoint_node/gateway/view.py
+++ b/packages/node/greengagepoint_node/gateway/view.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Final
 
-from greengagepoint.accounts.certainty import NEVER, Certainty
+from greengagepoint.accounts.certainty import NEVER, ConfigFreshness
 from greengagepoint.errors import RecordError
 from greengagepoint.events import Event
 from greengagepoint.placing.tables import Incarnation
@@ -82,7 +82,7 @@
         self.evacuated_at: dict[str, float] = {}
         self.lapses_until = float("-inf")
         self.quarantine: QuarantineEntries = NoQuarantine()
-        self.certainty = Certainty()
+        self.certainty = ConfigFreshness()
 
     def store_returned(self, now: float) -> None:
         """Take removals read in the next moments for lapses, not for departures."""
--- a/packages/node/tests/test_gateway_accounts.py
+++ b/packages/node/tests/test_gateway_accounts.py
@@ -222,7 +222,7 @@
         assert all(float(headers["Retry-After"]) > 0 for headers in refused)
         ran = [row for row in account_headers(world) if "small" in row.values()]
         assert len(ran) == 1 + 60 - len(refused)
-        assert len(ran) <= 1 + STRICT.most(SMALL[0])
+        assert len(ran) <= 1 + STRICT.max_requests(SMALL[0])
         lines = world.events.of(Event.REQUEST_REFUSED)
         assert {row["account"] for row in lines} == {"small"}
 
--- a/packages/node/tests/test_gateway_quarantine.py
+++ b/packages/node/tests/test_gateway_quarantine.py
@@ -7,7 +7,7 @@
 from gateway_world import async_world
 
 from greengagepoint.events import Event
-from greengagepoint.quarantine.rules import REFUSED_SECONDS
+from greengagepoint.quarantine.rules import QUARANTINE_SECONDS
 from greengagepoint_node.gateway.facts import Changes, RemovedKey
 from greengagepoint_standins.users_platform.backend import Manner
 
@@ -55,7 +55,7 @@
         status, _, headers = await world.async_call(path, method, data=body)
         assert (status, world.ran()) == (503, 3)
         seconds = float(headers["Retry-After"])
-        assert seconds == pytest.approx(REFUSED_SECONDS[0], rel=SPREAD + 0.05)
+        assert seconds == pytest.approx(QUARANTINE_SECONDS[0], rel=SPREAD + 0.05)
         assert len(told(world, Event.REQUEST_QUARANTINED)) == 1
         row = world.events.of(Event.REQUEST_REFUSED)[-1]
         assert (row["kind"], row["ends"]) == ("quarantined", 3)
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize(
     ("manner", "status", "refused_seconds"),
-    [(Manner.GOOD, 200, 0.0), (Manner.FATAL, 502, REFUSED_SECONDS[1])],
+    [(Manner.GOOD, 200, 0.0), (Manner.FATAL, 502, QUARANTINE_SECONDS[1])],
 )
 async def test_it_is_tried_again_once_the_refusal_has_lapsed(
     manner, status, refused_seconds
@@ -98,7 +98,7 @@
         await async_refused(world)
         set_manner(world, manner)
         forget_ended(world)
-        world.clock.ahead += REFUSED_SECONDS[0] + 0.1
+        world.clock.ahead += QUARANTINE_SECONDS[0] + 0.1
         before = world.ran()
         assert (await world.async_call(FATAL))[0] == status
         assert world.ran() == before + 1
--- a/packages/node/tests/test_gateway_quarantine_news.py
+++ b/packages/node/tests/test_gateway_quarantine_news.py
@@ -11,7 +11,7 @@
 from greengagepoint.placing.tables import Server
 from greengagepoint.quarantine.fingerprint import Fingerprint
 from greengagepoint.quarantine.quarantine import Quarantine
-from greengagepoint.quarantine.rules import REFUSED_SECONDS
+from greengagepoint.quarantine.rules import QUARANTINE_SECONDS
 from greengagepoint.quarantine.tables import Verdict
 from greengagepoint_node.gateway.facts import (
     Changes,
@@ -227,7 +227,7 @@
     assert list(keepers.store.entries) == [FATAL.content]
     assert keepers.store.calls == 2
     assert keepers.store.leases == [
-        pytest.approx(REFUSED_SECONDS[0] + KEEP_SECONDS, abs=1.0)
+        pytest.approx(QUARANTINE_SECONDS[0] + KEEP_SECONDS, abs=1.0)
     ]
 
 
--- a/packages/standins/greengagepoint_standins/accounts_world.py
+++ b/packages/standins/greengagepoint_standins/accounts_world.py
@@ -204,7 +204,7 @@
         rows = host.gate.report()
         chosen = self._ledger(host.region, host)
         if chosen is None:
-            host.gate.take_back(rows)
+            host.gate.report_again(rows)
             return
         unanswered = host.gate.unanswered
         report = UsageReport(host.name, host.started, rows, unanswered=unanswered)
@@ -254,7 +254,7 @@
         limits = ledger.ledger.limits(self.accounts, names, self.now)
         host.gate.told(limits, asked_at, self.now)
         if not self.way.told:
-            host.gate.told_at = -math.inf
+            host.gate.limits_requested_at = -math.inf
         if not self.way.parts:
             for use in host.gate.uses.values():
                 use.part = None
@@ -272,7 +272,7 @@
             first = max(0, end - 2 * steps)
             rate = max(play.limits[first:end])
             account = Account(name="", requests_per_second=rate, burst=rate)
-            bound = BOUNDS.most(account)
+            bound = BOUNDS.max_requests(account)
             over = max(over, sums[end] - sums[end - steps] - bound)
         ideal = wrong = 0.0
         tokens = play.limits[0]
