--- a/packages/core/greengagepoint/placing/allowance.py
+++ b/packages/core/greengagepoint/placing/allowance.py
@@ -1,40 +1,40 @@
-"""Allow something to a small part of the callers, with a reserve for short times.
+"""Limit what a small share of callers may do, with a reserve for short bursts.
 
-Load answered, for late answers: a burst, or a start with all servers cold, is over in
-seconds, and whoever waits for it is served, if late. In an overload that lasts, every
-late answer takes the place of one in time, so only few may wait. Both are held apart by
-what was saved before.
+For late answers: a burst, or a start with all servers cold, is over in seconds, and
+callers who wait for it are served, if late. In a lasting overload, every late answer
+takes the slot of one in time, so only few callers may wait. Tokens saved before the
+burst tell the two apart.
 
-For keys that move: a server that joins should have its part of the keys, and each runs
-cold there once; spread over seconds, few callers are late at a time.
+For keys that move: a server that joins takes over its share of the keys, and each key
+runs cold there once. Spreading the moves over seconds keeps few callers late at a time.
 """
 
 from dataclasses import dataclass
 from typing import Final
 
-# Saved while all is well, for a start at which all servers are cold.
-WAITING_MOST: Final = 60.0
-# In an overload that lasts, the share of callers that may wait for a late answer.
-WAITING_RATIO: Final = 0.08
-# The share of callers that may move their key to the server that should have it.
-MOVING_RATIO: Final = 0.02
-MOVING_MOST: Final = 1.0
+# Saved in normal operation, for a start with all servers cold.
+WAIT_TOKENS_MAX: Final = 60.0
+# Share of callers that may wait for a late answer in a lasting overload.
+WAIT_RATIO: Final = 0.08
+# Share of callers that may move their key to its first-ranked server.
+MOVE_RATIO: Final = 0.02
+MOVE_TOKENS_MAX: Final = 1.0
 
 
 @dataclass(slots=True)
 class Allowance:
-    """Tokens, of which each caller adds ``ratio`` up to ``most``."""
+    """Hold tokens; each caller adds ``ratio`` of one, up to ``max_tokens``."""
 
     ratio: float
-    most: float
+    max_tokens: float
     tokens: float
 
     def deposit(self) -> None:
-        """Add what one caller is worth."""
-        self.tokens = min(self.most, self.tokens + self.ratio)
+        """Add the share of one caller."""
+        self.tokens = min(self.max_tokens, self.tokens + self.ratio)
 
     def withdraw(self) -> bool:
-        """Take the token of one caller; tell whether there was one."""
+        """Spend one token; return False if there is none."""
         if self.tokens < 1:
             return False
         self.tokens -= 1
@@ -42,10 +42,10 @@
 
 
 def create_waiting() -> Allowance:
-    """Return the allowance for answers after their goal."""
-    return Allowance(WAITING_RATIO, WAITING_MOST, WAITING_MOST)
+    """Return the allowance for answers after the latency goal."""
+    return Allowance(WAIT_RATIO, WAIT_TOKENS_MAX, WAIT_TOKENS_MAX)
 
 
 def create_moving() -> Allowance:
-    """Return the allowance for keys that move to the server that should have them."""
-    return Allowance(MOVING_RATIO, MOVING_MOST, 0.0)
+    """Return the allowance for keys that move to their first-ranked server."""
+    return Allowance(MOVE_RATIO, MOVE_TOKENS_MAX, 0.0)
--- a/packages/core/greengagepoint/placing/busy_servers.py
+++ b/packages/core/greengagepoint/placing/busy_servers.py
@@ -1,8 +1,9 @@
-"""Tell other hosts which backend servers have more requests than slots.
+"""Share with peers which backend servers have no free slots.
 
-Load answered: a few servers have more keys than others, and are full beside idle ones.
-A host of a large fleet meets each of them once in many seconds, so it learns of a queue
-only from its own request that waited there, and the next host does not learn of it.
+A few servers have more keys than others and are full while others are idle. In a large
+fleet a host sends to each of them only once in many seconds, so without sharing it
+learns about a queue only from a request of its own that waited there, and its peers
+never learn about it.
 """
 
 from collections.abc import Iterable
@@ -13,16 +14,18 @@
 
 from greengagepoint.placing.tables import Server, ServerTable
 
-# A queue is worked off, or has grown, within two runs.
+# A queue drains or grows within two runs.
 AGE_MAX_SECONDS: Final = 2.0
-# The newest so many are passed on, of 27 bytes each: 0.9 KB beside the heartbeats.
+# Only the newest reports are shared. Each takes 27 bytes, so a message grows by at most
+# 0.9 KB beside the heartbeats.
 SHARED_MAX: Final = 32
 
 
 class BusyServer(msgspec.Struct, array_like=True):
-    """The requests of one run of a server, running and waiting, and their age.
+    """Report how many requests a server holds, running and waiting.
 
-    A server that starts again under its id holds nothing of what it had before.
+    ``born`` is the start time of the server's incarnation: a server that restarts under
+    its id holds none of the earlier requests. ``age_ms`` is the age of the report.
     """
 
     instance: str
@@ -33,42 +36,51 @@
 
 @dataclass(slots=True)
 class BusyServers:
-    """The newest news of full servers, by instance and birth; monotonic seconds."""
+    """Hold the newest load of full servers, by instance and start time.
 
-    news: dict[tuple[str, int], tuple[int, float]] = field(default_factory=dict)
+    Each value is the number of requests held and the monotonic time of the report.
+    """
+
+    reports: dict[tuple[str, int], tuple[int, float]] = field(default_factory=dict)
 
     def note(self, server: Server, held: int, now: float) -> None:
-        """Take in what a server told this host."""
+        """Record the load that a server reported to this host."""
         if held >= server.slots:
-            self.news[server.instance, server.born] = (held, now)
+            self.reports[server.instance, server.born] = (held, now)
         else:
-            self.news.pop((server.instance, server.born), None)
+            self.reports.pop((server.instance, server.born), None)
+
+    def take(
+        self, reports: Iterable[BusyServer], table: ServerTable, now: float
+    ) -> None:
+        """Merge the reports of a peer and apply them to the servers in ``table``.
 
-    def take(self, news: Iterable[BusyServer], table: ServerTable, now: float) -> None:
-        """Take in what a peer passes on, and what it says of servers known here."""
-        for row in news:
+        Reports of unknown servers or other incarnations are ignored, and so are those
+        older than what this host has.
+        """
+        for row in reports:
             at = now - row.age_ms / 1000
             server = table.servers.get(row.instance)
             if server is None or server.born != row.born:
                 continue
-            if at <= self._known_at(server):
+            if at <= self._latest_report_time(server):
                 continue
-            self.news[row.instance, row.born] = (row.held, at)
-            server.take_shared(row.held, at)
+            self.reports[row.instance, row.born] = (row.held, at)
+            server.apply_peer_report(row.held, at)
 
     def shared(self, now: float) -> list[BusyServer]:
-        """Return what peers should know, the newest first; forget the rest."""
+        """Return the reports to share with peers, newest first, and drop old ones."""
         oldest = now - AGE_MAX_SECONDS
-        recent = {run: row for run, row in self.news.items() if row[1] >= oldest}
-        self.news = recent
+        recent = {run: row for run, row in self.reports.items() if row[1] >= oldest}
+        self.reports = recent
         newest = sorted(recent.items(), key=lambda item: -item[1][1])[:SHARED_MAX]
         return [
             BusyServer(instance, born, held, round((now - at) * 1000))
             for (instance, born), (held, at) in newest
         ]
 
-    def _known_at(self, server: Server) -> float:
-        """Return when the newest news of a server was told."""
+    def _latest_report_time(self, server: Server) -> float:
+        """Return the monotonic time of the newest load report of a server."""
         run = (server.instance, server.born)
-        _, at = self.news.get(run, (0, float("-inf")))
+        _, at = self.reports.get(run, (0, float("-inf")))
         return max(at, server.reported_at)
--- a/packages/core/greengagepoint/placing/choice.py
+++ b/packages/core/greengagepoint/placing/choice.py
@@ -6,32 +6,33 @@
 from greengagepoint.placing.ranking import RankCache
 from greengagepoint.placing.tables import Incarnation, Server, ServerTable
 
-# A warm run takes about 0.4 of the response-time goal, so a wait of half of it still
-# ends in time. A queue that is let grow beyond makes every answer late, at the same
-# number of answers.
-WAIT_SHARE_OF_GOAL: Final = 0.5
-# A cold run takes as long as three warm ones or four. It comes only where a caller
-# would wait too long at the servers that are warm; a server takes it while this part of
-# its slots is busy at most. With much less, callers are refused, or wait at a full
-# server, beside ones that are half busy; with the last slot too, keys are pushed out
-# where servers remember few.
-ROOM_SHARE: Final = 0.8
-# A key that moves to the server that should have it is in no hurry: its run must not
-# make callers wait whose keys are warm there.
-IDLE_SHARE: Final = 0.4
-# Of the time that a caller has left, what may pass before its request runs: a cold run
-# takes a third of a short deadline, and the estimate of a wait is off by as much.
-WAIT_SHARE_OF_DEADLINE: Final = 0.4
-# Callers that come back at once find the same queue; together they would be a burst.
+# A warm run takes about 0.4 of the latency goal, so a request that waits for half of
+# the goal is still answered in time. A longer queue makes every answer late without
+# raising throughput.
+MAX_WAIT_GOAL_SHARE: Final = 0.5
+# A cold run takes as long as three or four warm ones, so a request runs cold only if it
+# would wait too long at the warm servers, and only on a server with at most this share
+# of its slots in use. A much lower limit rejects callers, or queues them at a full
+# server, while other servers are half busy. Using the last slot too evicts keys on
+# servers that remember few of them.
+COLD_RUN_OCCUPANCY_MAX: Final = 0.8
+# A key that moves to its first-ranked server is not urgent: its cold run must not delay
+# callers whose keys are warm there.
+MOVE_OCCUPANCY_MAX: Final = 0.4
+# Share of the caller's remaining time that may pass before its request runs. A cold run
+# takes a third of a short deadline, and the wait estimate can be off by as much.
+MAX_WAIT_DEADLINE_SHARE: Final = 0.4
+# Callers that retry at once would find the same queue and arrive as one burst.
 RETRY_SECONDS_MIN: Final = 0.3
 
 
 class Wanted(NamedTuple):
-    """What is asked of the choice.
+    """Hold the criteria for choosing a server.
 
-    ``regions`` is the order in which they may be used, ``away_seconds`` the round trip
-    to them. ``key`` None means any server; ``warm`` are the servers that have run the
-    key lately. ``seconds_left`` bounds a late answer.
+    ``regions`` lists the regions to use in order of preference, and
+    ``round_trip_seconds`` is the round-trip time to them. ``key`` is None if any server
+    will do; ``warm`` lists the servers that ran the key recently. ``seconds_left`` is
+    the time to the deadline. Servers in ``tried`` are not chosen again.
     """
 
     service: str
@@ -41,15 +42,15 @@
     seconds_left: float
     tried: frozenset[Incarnation] = frozenset()
     warm: Sequence[Incarnation] = ()
-    away_seconds: float = 0.0
+    round_trip_seconds: float = 0.0
 
 
 class NoPlace(NamedTuple):
-    """No server fits; ``retry_seconds`` is when one should.
+    """Report that no server can take a request; retry in ``retry_seconds``.
 
-    The rest is what decided it: the shortest wait there is and the longest that was
-    allowed, how many servers there are, and how old the report of the one with the
-    shortest wait is (infinite where it never told its load); seconds.
+    The other fields explain the decision: the shortest expected wait, the longest wait
+    allowed, the number of servers, and the age of the load report of the server with
+    the shortest wait (infinite if it never reported). Times are in seconds.
     """
 
     retry_seconds: float
@@ -61,10 +62,11 @@
 
 
 class Permissions(NamedTuple):
-    """What a choice may use up, each asked only when it is needed.
+    """Hold the checks that spend a budget, each called only when it is needed.
 
-    ``may_send`` allows one request to a server that has just started, ``may_wait`` one
-    late answer, ``may_move`` one key to run on the server that should have it.
+    ``may_send`` permits one request to a server that has just started, ``may_wait`` one
+    answer after the latency goal, ``may_move`` one key to move to its first-ranked
+    server.
     """
 
     may_send: Callable[[Server], bool]
@@ -75,148 +77,152 @@
 def choose(
     table: ServerTable,
     ranks: RankCache,
-    wanted: Wanted,
+    criteria: Wanted,
     permissions: Permissions,
     now: float,
 ) -> Server | NoPlace:
-    """Return the server for a request, or why there is none.
+    """Return the server for a request, or the reason why there is none.
 
-    Load answered: many hosts send to the same servers without talking about each
-    request. Each uses the servers that are warm for the key and leaves them only for a
-    wait that costs more than a cold run.
+    Many hosts send to the same servers without coordinating each request. Each host
+    uses the servers that are warm for the key, and leaves them only if the wait there
+    costs more than a cold run.
     """
     servers = [
         server
-        for region in wanted.regions
-        for server in table.find(wanted.service, region).servers
-        if server.incarnation not in wanted.tried
+        for region in criteria.regions
+        for server in table.find(criteria.service, region).servers
+        if server.incarnation not in criteria.tried
     ]
     if not servers:
         return NoPlace(retry_seconds=1.0, servers_known=False)
-    ranked = _by_rank(table, ranks, wanted, servers, now)
-    warm = _warm(ranked, servers, wanted, now)
-    longest = max(0.0, wanted.goal_seconds * WAIT_SHARE_OF_GOAL - wanted.away_seconds)
+    ranked = _rank_servers(table, ranks, criteria, servers, now)
+    warm = _warm_servers(ranked, servers, criteria, now)
+    max_wait = max(
+        0.0, criteria.goal_seconds * MAX_WAIT_GOAL_SHARE - criteria.round_trip_seconds
+    )
     best = min(warm, key=lambda row: row.expected_wait(now), default=None)
-    moved = _moved(ranked, warm, permissions, now)
-    if moved is not None:
-        return moved
-    in_time = best is not None and best.expected_wait(now) <= longest
-    if in_time and _may_use(best, permissions, now):
+    move_target = _move_target(ranked, warm, permissions, now)
+    if move_target is not None:
+        return move_target
+    in_time = best is not None and best.expected_wait(now) <= max_wait
+    if in_time and _can_send(best, permissions, now):
         return best
-    for server in _cold_places(ranked, servers, warm, now):
-        if _has_room(server, now) and _may_use(server, permissions, now):
+    for server in _cold_candidates(ranked, servers, warm, now):
+        if _has_cold_run_capacity(server, now) and _can_send(server, permissions, now):
             return server
-    if best is not None and _may_end_late(best, wanted, permissions, now):
+    if best is not None and _can_wait_past_goal(best, criteria, permissions, now):
         return best
-    freest = min(servers, key=lambda row: row.expected_wait(now))
-    shortest = freest.expected_wait(now)
+    least_loaded = min(servers, key=lambda row: row.expected_wait(now))
+    shortest = least_loaded.expected_wait(now)
     return NoPlace(
-        retry_seconds=max(RETRY_SECONDS_MIN, shortest - longest),
+        retry_seconds=max(RETRY_SECONDS_MIN, shortest - max_wait),
         servers_known=True,
         shortest_wait=shortest,
-        longest_wait=longest,
+        longest_wait=max_wait,
         servers=len(servers),
-        report_age=now - freest.reported_at,
+        report_age=now - least_loaded.reported_at,
     )
 
 
-def _by_rank(
+def _rank_servers(
     table: ServerTable,
     ranks: RankCache,
-    wanted: Wanted,
+    criteria: Wanted,
     servers: Sequence[Server],
     now: float,
 ) -> Sequence[Server]:
-    """Return the servers that should have a key, the one that comes first at first."""
-    if wanted.key is None:
+    """Return the servers ranked for the key, or all by occupancy without a key."""
+    if criteria.key is None:
         return sorted(servers, key=lambda row: row.occupancy(now) / row.slots)
     return [
         server
-        for region in wanted.regions
-        for server in ranks.rank(table, wanted.service, region, wanted.key)
-        if server.incarnation not in wanted.tried
+        for region in criteria.regions
+        for server in ranks.rank(table, criteria.service, region, criteria.key)
+        if server.incarnation not in criteria.tried
     ]
 
 
-def _warm(
-    ranked: Sequence[Server], servers: Sequence[Server], wanted: Wanted, now: float
+def _warm_servers(
+    ranked: Sequence[Server], servers: Sequence[Server], criteria: Wanted, now: float
 ) -> Sequence[Server]:
-    """Return the servers that are taken for warm, the first of the ranks at first.
+    """Return the servers assumed to be warm for the key, in rank order.
 
-    A host that has not seen the key takes the server that should have it for warm: the
-    others send it there. Without a key all servers are alike.
+    If this host has not seen the key, it assumes that the first-ranked server is warm,
+    because its peers send the key there. Without a key all servers are equal.
     """
-    sound = [server for server in ranked if server.suspect_until <= now]
-    if wanted.key is None:
-        return sound
+    healthy = [server for server in ranked if server.suspect_until <= now]
+    if criteria.key is None:
+        return healthy
     usable = [row for row in servers if row.suspect_until <= now]
-    known = [row for row in usable if row.incarnation in wanted.warm]
-    first_known = [row for row in sound if row in known]
-    return first_known + [row for row in known if row not in sound] or sound[:1]
+    known_warm = [row for row in usable if row.incarnation in criteria.warm]
+    ranked_warm = [row for row in healthy if row in known_warm]
+    return (
+        ranked_warm + [row for row in known_warm if row not in healthy] or healthy[:1]
+    )
 
 
-def _moved(
+def _move_target(
     ranked: Sequence[Server],
     warm: Sequence[Server],
     permissions: Permissions,
     now: float,
 ) -> Server | None:
-    """Return the server that should have the key, if it is to be warmed for it now.
+    """Return the first-ranked server if the key should move there now, else None.
 
-    Servers that join would stay empty while the former ones keep their keys; taking
-    all their keys over at once would make each of them run cold at the same time.
+    A server that joins would stay empty if keys never left the servers they are warm
+    on. If it took over all its keys at once, they would all run cold at the same time.
     """
     first = ranked[0] if ranked else None
     if first is None or not warm or first in warm or first.suspect_until > now:
         return None
     if not _is_idle(first, now) or not permissions.may_move():
         return None
-    return first if _may_use(first, permissions, now) else None
+    return first if _can_send(first, permissions, now) else None
 
 
-def _cold_places(
+def _cold_candidates(
     ranked: Sequence[Server],
     servers: Sequence[Server],
     warm: Sequence[Server],
     now: float,
 ) -> Iterable[Server]:
-    """Yield servers for a cold run: by rank, then the most idle, then the suspected.
+    """Yield servers for a cold run: by rank, then the least loaded, then suspects.
 
-    Others than those of the key's ranks are used only where none of these can be: each
-    would be warm for the key, and crowd out keys of its own.
+    A server outside the key's ranks is used only if none of the ranked ones can be:
+    the key would become warm there too and evict the server's own keys.
     """
-    others = [server for server in ranked if server not in warm]
-    yield from (server for server in others if server.suspect_until <= now)
-    sound = [server for server in servers if server.suspect_until <= now]
-    usable = [row for row in ranked if row in sound and row.cold_until <= now]
-    if sound and not usable:
+    not_warm = [server for server in ranked if server not in warm]
+    yield from (server for server in not_warm if server.suspect_until <= now)
+    healthy = [server for server in servers if server.suspect_until <= now]
+    usable = [row for row in ranked if row in healthy and row.cold_until <= now]
+    if healthy and not usable:
         yield min(
-            sound,
+            healthy,
             key=lambda row: (row.cold_until > now, row.occupancy(now) / row.slots),
         )
-    yield from (server for server in others if server.suspect_until > now)
+    yield from (server for server in not_warm if server.suspect_until > now)
 
 
-def _may_end_late(
-    server: Server, wanted: Wanted, permissions: Permissions, now: float
+def _can_wait_past_goal(
+    server: Server, criteria: Wanted, permissions: Permissions, now: float
 ) -> bool:
-    """Tell whether a caller may wait for an answer after its goal."""
-    longest = wanted.seconds_left * WAIT_SHARE_OF_DEADLINE
-    if server.expected_wait(now) > longest:
+    """Return True if a caller may wait for an answer after its latency goal."""
+    max_wait = criteria.seconds_left * MAX_WAIT_DEADLINE_SHARE
+    if server.expected_wait(now) > max_wait:
         return False
-    return _may_use(server, permissions, now) and permissions.may_wait()
+    return _can_send(server, permissions, now) and permissions.may_wait()
 
 
 def _is_idle(server: Server, now: float) -> bool:
-    """Tell whether a server has slots to spare for a run that could wait."""
-    return server.occupancy(now) <= IDLE_SHARE * server.slots
+    """Return True if a server has enough free slots to take over a key."""
+    return server.occupancy(now) <= MOVE_OCCUPANCY_MAX * server.slots
 
 
-def _has_room(server: Server, now: float) -> bool:
-    """Tell whether a server has slots to spare for a cold run that is needed."""
-    return server.occupancy(now) <= ROOM_SHARE * server.slots
+def _has_cold_run_capacity(server: Server, now: float) -> bool:
+    """Return True if a server has enough free slots for a cold run."""
+    return server.occupancy(now) <= COLD_RUN_OCCUPANCY_MAX * server.slots
 
 
-def _may_use(server: Server, permissions: Permissions, now: float) -> bool:
-    """Tell whether a server is warm, or this host may send to it though it is cold."""
+def _can_send(server: Server, permissions: Permissions, now: float) -> bool:
+    """Return True if a server has warmed up, or this host may send to it while cold."""
     return server.cold_until <= now or permissions.may_send(server)
--- a/packages/core/greengagepoint/placing/cold_start.py
+++ b/packages/core/greengagepoint/placing/cold_start.py
@@ -1,9 +1,10 @@
-"""Hold all hosts together to what a cold backend server bears.
+"""Limit the rate of all hosts together to a cold backend server.
 
-A server that has just started runs at half speed and crashes at a rate well above what
-its service says. Hosts do not talk about each request, so the rate is split beforehand:
-a few hosts, chosen by rendezvous hashing, may send to a cold server, each at its part.
-Two views of who lives that differ by a third still stay within the bound.
+A server that has just started runs at half speed and crashes at a rate well above the
+one configured for its service. Hosts do not coordinate each request, so the rate is
+split in advance: a few hosts, chosen by rendezvous hashing, may send to a cold server,
+each at its share. The limit holds even if the membership views of hosts differ by a
+third.
 """
 
 import math
@@ -14,13 +15,13 @@
 from greengagepoint.placing.tables import Incarnation
 from greengagepoint.rendezvous import rank
 
-# Of the rate that a cold server bears, the part that hosts use; the rest is for hosts
-# that count as senders in another host's view only.
-USED_SHARE: Final = 0.7
-# A host that has just started knows too few others, and all hosts that start together
-# would each take the whole rate; news of all takes two seconds.
-START_SECONDS: Final = 3.0
-# Each sender may send one request ahead of its rate, so their number bounds the burst.
+# Share of a cold server's rate that hosts use. The rest is left for hosts that are
+# senders only in the view of another host.
+USED_RATE_SHARE: Final = 0.7
+# A host that has just started knows too few peers, and all hosts that start together
+# would each use the whole rate. Membership takes two seconds to spread.
+STARTUP_SECONDS: Final = 3.0
+# Each sender may send one request ahead of its rate, so this bounds the burst.
 SENDERS_MAX: Final = 8
 
 
@@ -35,21 +36,22 @@
     def may_send(
         self, server: Incarnation, rate: float, hosts: Sequence[str], now: float
     ) -> bool:
-        """Take a send from this host's part of a cold server's rate.
+        """Spend one request of this host's share of a cold server's rate.
 
-        ``hosts`` are those that serve; ``rate`` is requests a second over all hosts.
+        Return False if the share is used up or this host is not a sender. ``hosts`` are
+        the serving hosts; ``rate`` is in requests per second over all hosts.
         """
-        if now - self.started_at < START_SECONDS:
+        if now - self.started_at < STARTUP_SECONDS:
             return False
-        wanted = max(1, min(SENDERS_MAX, math.floor(rate * USED_SHARE)))
-        senders = rank(server.instance, hosts)[:wanted]
+        max_senders = max(1, min(SENDERS_MAX, math.floor(rate * USED_RATE_SHARE)))
+        senders = rank(server.instance, hosts)[:max_senders]
         if self.host not in senders:
             return False
-        own_rate = rate * USED_SHARE / len(senders)
+        own_rate = rate * USED_RATE_SHARE / len(senders)
         bucket = self.buckets.setdefault(server, TokenBucket(1.0, now))
         return take(bucket, own_rate, 1.0, now) == 0.0
 
     def keep(self, servers: set[Incarnation]) -> None:
-        """Forget servers that are gone."""
+        """Drop the state of servers that are not in ``servers``."""
         for server in [row for row in self.buckets if row not in servers]:
             del self.buckets[server]
--- a/packages/core/greengagepoint/placing/ranking.py
+++ b/packages/core/greengagepoint/placing/ranking.py
@@ -1,4 +1,4 @@
-"""Rank the backend servers of a region by a key, the same on every host."""
+"""Rank the backend servers of a region for a key, identically on every host."""
 
 from typing import Final
 
@@ -6,22 +6,22 @@
 
 from greengagepoint.placing.tables import Server, ServerTable
 
-# 10,000 keys of 100 bytes and a short tuple each stay under 4 MB.
-KEPT_RANKS_MAX: Final = 10_000
-# Servers that a key may become warm on. With a second one, callers of a busy server use
-# whichever is free; with more, each server holds more keys than it keeps warm, and cold
-# runs fill the slots.
+# 10,000 keys of 100 bytes, each with a short tuple, take less than 4 MB.
+CACHED_RANKS_MAX: Final = 10_000
+# Number of servers that a key may become warm on. With a second one, callers of a busy
+# server use whichever is free. With more, each server has more keys than it can keep
+# warm, and cold runs fill the slots.
 RANK_LENGTH: Final = 2
 HASH_RANGE: Final = 2**64
 
 
 def unit_hash(text: str) -> float:
-    """Return a number from 0 to less than 1 that depends on the text alone."""
+    """Return a hash of ``text`` as a number from 0 to less than 1."""
     return xxhash.xxh3_64_intdigest(text.encode()) / HASH_RANGE
 
 
 class RankCache:
-    """Ranks by service, region and key for one version of the table."""
+    """Cache ranks by service, region and key for one version of the table."""
 
     def __init__(self) -> None:
         self.version = -1
@@ -32,10 +32,10 @@
     ) -> tuple[Server, ...]:
         """Return the first servers of a region in the order of their weight for a key.
 
-        Rendezvous hashing needs no agreement: hosts that know the same members rank
-        them alike, so a key stays on the server that is warm for it.
+        Rendezvous hashing needs no coordination: hosts that know the same members rank
+        them identically, so a key stays on the server that is warm for it.
         """
-        if self.version != table.version or len(self.ranks) > KEPT_RANKS_MAX:
+        if self.version != table.version or len(self.ranks) > CACHED_RANKS_MAX:
             self.ranks.clear()
             self.version = table.version
         found = self.ranks.get((service, region, key))
--- a/packages/core/greengagepoint/placing/regions.py
+++ b/packages/core/greengagepoint/placing/regions.py
@@ -1,14 +1,14 @@
-"""Give each key a region, the same on every host that is asked for it.
+"""Assign each key to a region, identically on every host.
 
-Load answered: a region holds a tenth of a service's servers and a third of its callers,
-each region's callers peak at another time, and on a busy day all regions together are
-near what warm servers bear. Keys spread over the regions by their slots fill them
-evenly wherever callers are.
+A region may have a tenth of a service's servers and a third of its callers, the load of
+each region peaks at a different time, and on a busy day all regions together are close
+to what warm servers can handle. Spreading keys over the regions in proportion to their
+slots fills the regions evenly wherever the callers are.
 
-Two kinds of requests are the exception, and their keys stay with their callers as far
-as the slots there go. Large answers are few, but make up most of the bytes between
-regions. And where the way to another region and back takes a good part of the
-response-time goal, even a short queue there makes an answer late.
+Keys of two kinds of requests stay in their callers' region as far as its slots allow.
+Large answers are few, but make up most of the traffic between regions. And if the round
+trip to another region takes a large share of the latency goal, even a short queue there
+makes an answer late.
 """
 
 import math
@@ -18,72 +18,76 @@
 from greengagepoint.placing.ranking import unit_hash
 from greengagepoint.routing.tables import RequestKind, Route
 
-# Users allow 0.15 of a region's requests to change their region between two spans of
-# 2 s; the luck of a few hundred requests takes up to half of it.
+# At most 0.15 of a region's requests may change their region between two intervals of
+# 2 s. Random variation over a few hundred requests uses up to half of that.
 CHANGE_PER_SECOND: Final = 0.03
 
-# A run and a short queue take the rest of the goal; with less to go, spreading the keys
-# gains as much for other routes.
-ROUND_TRIP_SHARE_OF_GOAL: Final = 0.2
+# A run and a short queue need the rest of the goal. Routes with a shorter round trip
+# gain as much from spreading their keys as other routes do.
+ROUND_TRIP_GOAL_SHARE: Final = 0.2
 
 Weights = dict[str, float]
 
 
 def runs_near(route: Route, round_trip_seconds: float) -> bool:
-    """Tell whether a route's keys stay in the region of their callers.
+    """Return True if a route's keys should stay in the region of their callers.
 
-    ``round_trip_seconds`` is to the farthest region and back.
+    ``round_trip_seconds`` is the round-trip time to the farthest region.
     """
     if route.kind is RequestKind.DOWNLOAD:
         return True
-    return round_trip_seconds > ROUND_TRIP_SHARE_OF_GOAL * route.goal_seconds
+    return round_trip_seconds > ROUND_TRIP_GOAL_SHARE * route.goal_seconds
 
 
 def wanted_weights(slots: Mapping[str, float]) -> Weights:
-    """Return each region's part of the keys, by its slots; the parts add up to one."""
+    """Return each region's share of the keys, by its slots; the shares add up to 1."""
     total = sum(count for count in slots.values() if count > 0)
     return {region: count / total for region, count in slots.items() if count > 0}
 
 
 def near_weights(slots: Mapping[str, float], home: str, regions: int) -> Weights:
-    """Return each region's part of the keys that callers in ``home`` ask for.
+    """Return each region's share of the keys requested by callers in ``home``.
 
-    A region keeps its keys as far as its part of the slots goes, if all ``regions`` had
-    as many callers. The rest goes where slots are left over by the same measure.
+    The calculation assumes that all ``regions`` have equally many callers. The home
+    region keeps as many of its keys as its share of the slots allows. The rest goes to
+    regions that have slots to spare under the same assumption.
     """
-    room = wanted_weights(slots)
+    shares = wanted_weights(slots)
     equal = 1 / max(1, regions)
-    kept = min(1.0, room.get(home, 0.0) / equal)
+    kept = min(1.0, shares.get(home, 0.0) / equal)
     spare = {
-        name: max(0.0, part - equal) for name, part in room.items() if name != home
+        name: max(0.0, part - equal) for name, part in shares.items() if name != home
     }
     if not any(spare.values()):
-        return {home: 1.0} if kept else room
+        return {home: 1.0} if kept else shares
     others = wanted_weights(spare)
     weights = {name: (1 - kept) * part for name, part in others.items()}
     return wanted_weights({**weights, home: kept})
 
 
-def moved_toward(now: Weights, wanted: Weights, most: float) -> Weights:
-    """Return weights that move at most ``most`` of the keys, toward ``wanted``."""
-    names = set(now) | set(wanted)
-    change = {name: wanted.get(name, 0.0) - now.get(name, 0.0) for name in names}
+def moved_toward(now: Weights, target: Weights, max_change: float) -> Weights:
+    """Move weights toward ``target``, changing the region of at most ``max_change``.
+
+    ``max_change`` is a share of all keys.
+    """
+    names = set(now) | set(target)
+    change = {name: target.get(name, 0.0) - now.get(name, 0.0) for name in names}
     moved = sum(part for part in change.values() if part > 0)
-    scale = 1.0 if moved <= most else most / moved
+    scale = 1.0 if moved <= max_change else max_change / moved
     parts = {name: now.get(name, 0.0) + scale * change[name] for name in names}
     return wanted_weights(parts)
 
 
 def region_for_key(key: str, weights: Weights) -> str | None:
-    """Return the region in which a key runs, or None where there is none.
+    """Return the region in which a key runs, or None if there are no regions.
 
-    Weighted rendezvous: a region whose weight grows takes keys from all others, and no
-    key moves between those, so servers stay warm for the keys that they have.
+    This is weighted rendezvous hashing: a region whose weight grows takes keys from all
+    others, and no key moves between those, so servers stay warm for their keys.
     """
-    return max(weights, key=lambda region: _pull(key, region, weights), default=None)
+    return max(weights, key=lambda region: _score(key, region, weights), default=None)
 
 
-def _pull(key: str, region: str, weights: Weights) -> float:
-    """Return how strongly a region draws a key."""
+def _score(key: str, region: str, weights: Weights) -> float:
+    """Return the weighted rendezvous score of a region for a key."""
     draw = unit_hash(f"{key}\0{region}")
     return -weights[region] / math.log(draw) if draw > 0 else 0.0
--- a/packages/core/greengagepoint/placing/room.py
+++ b/packages/core/greengagepoint/placing/room.py
@@ -1,9 +1,9 @@
-"""Notice that a region has lost room: servers that left, crashed or turned cold.
+"""Detect that a region lost capacity: servers that left, crashed or turned cold.
 
-Load answered: an evacuation, a crash or a cold return takes a region's slots within a
-second, and what ran there has to run in other regions at once. A region that is only
-busy keeps its requests: users bound how many of them may change their region while
-nothing is out of order.
+An evacuation, a crash or a cold return removes slots of a region within a second, and
+the requests that ran there have to run in other regions at once. A region that is only
+busy keeps its requests: there is a limit on how many requests may change their region
+while nothing is wrong.
 """
 
 from collections.abc import Iterable
@@ -12,15 +12,15 @@
 
 from greengagepoint.placing.tables import Server, ServerTable
 
-# Region weights settle on what is left, so a loss is forgotten by this part of the
-# former room a second. Forgotten all at once, every key that left would come back in
-# the same moment, and run cold at home. The pace was chosen, not swept.
-FORGOTTEN_PER_SECOND: Final = 0.01
+# Region weights adapt to the remaining slots, so a loss decays by this share of the
+# former capacity per second. If it expired all at once, every key that left would
+# return at the same time and run cold in its own region.
+LOSS_DECAY_PER_SECOND: Final = 0.01
 
 
 @dataclass(slots=True)
-class Room:
-    """The usable slots of one service in one region, now and formerly."""
+class RegionCapacity:
+    """Hold the usable slots of one service in one region, now and before a loss."""
 
     usable: float = 0.0
     former: float = 0.0
@@ -28,31 +28,31 @@
 
 @dataclass(slots=True)
 class RoomWatch:
-    """Rooms by service and region; times are monotonic seconds."""
+    """Track the capacity of each service and region; times are monotonic seconds."""
 
-    rooms: dict[tuple[str, str], Room] = field(default_factory=dict)
+    capacities: dict[tuple[str, str], RegionCapacity] = field(default_factory=dict)
     ticked_at: float | None = None
 
     def tick(self, table: ServerTable, now: float) -> None:
-        """Take in what servers may be used now."""
+        """Update the capacities from the servers that are usable now."""
         elapsed = now - self.ticked_at if self.ticked_at is not None else 0.0
         self.ticked_at = now
-        kept = max(0.0, 1 - FORGOTTEN_PER_SECOND * elapsed)
-        for key in set(self.rooms) | set(table.members):
-            room = self.rooms.setdefault(key, Room())
-            room.usable = _usable_slots(table.find(*key).servers, now)
-            room.former = max(room.usable, room.former * kept)
+        kept = max(0.0, 1 - LOSS_DECAY_PER_SECOND * elapsed)
+        for key in set(self.capacities) | set(table.members):
+            capacity = self.capacities.setdefault(key, RegionCapacity())
+            capacity.usable = _usable_slots(table.find(*key).servers, now)
+            capacity.former = max(capacity.usable, capacity.former * kept)
 
     def lost_share(self, service: str, region: str) -> float:
-        """Return which part of its former slots a region has lost."""
-        room = self.rooms.get((service, region))
-        if room is None or not room.former:
+        """Return the share of its former slots that a region has lost."""
+        capacity = self.capacities.get((service, region))
+        if capacity is None or not capacity.former:
             return 0.0
-        return 1 - room.usable / room.former
+        return 1 - capacity.usable / capacity.former
 
 
 def _usable_slots(servers: Iterable[Server], now: float) -> int:
-    """Return the slots of servers that are neither suspected nor cold."""
+    """Return the number of slots of servers that are neither suspected nor cold."""
     return sum(
         server.slots
         for server in servers
--- a/packages/core/greengagepoint/placing/server_silence.py
+++ b/packages/core/greengagepoint/placing/server_silence.py
@@ -1,40 +1,43 @@
-"""Tell how long a server may be silent before that says something.
+"""Decide how long a server may stay silent before it is assumed to be dead.
 
-Load answered: answers that are lost while their server runs on. A request given up in
-vain is the dearer mistake: the server's work is thrown away, the next server runs the
-key cold, and the first is spared though it is sound. A host that meets each server once
-in eight seconds takes every run of over two for silence, unless it knows how seldom it
-would have heard.
+Answers can be lost while their server keeps running. Abandoning a request too early is
+the more expensive mistake: the server's work is wasted, the next server runs the key
+cold, and the first one is avoided although it is healthy. A host that sends to each
+server once in eight seconds would mistake every run longer than two seconds for silence
+if it ignored how seldom it receives answers.
 """
 
 import math
 from dataclasses import dataclass
 from typing import Final
 
-# A server that has answered nobody for this part of a request's time is taken for dead,
-# and a request that may be repeated goes to another one while there is time. A server
-# that is only busy answers others meanwhile; where there are none, a run may well take
-# several times as long as most.
-SILENCE_SHARE: Final = 0.5
+# A server that has answered no request for this share of a request's remaining time is
+# assumed to be dead, and a repeatable request is sent to another server while there is
+# time. A server that is only busy answers other requests meanwhile; if there are none,
+# a run may take several times as long as most.
+SILENCE_TIME_SHARE: Final = 0.5
 SILENCE_RUNS: Final = 4.0
-# Silence says nothing where this host would not have heard of the server anyway. In the
-# mean time of so many answers a sound one is silent by chance once in seven times.
+# Silence means nothing if this host would not have received an answer anyway. Within
+# this many mean intervals between answers, a healthy server is silent by chance one
+# time in seven.
 SILENCE_ANSWERS: Final = 2.0
-# Nor while the longest answers take as long; a fuller queue takes somewhat longer.
+# Nor does it mean anything while the slowest answers take as long. The factor leaves
+# time for a queue that is somewhat longer.
 SILENCE_LONGEST: Final = 1.5
-# The longest time is kept over about a hundred answers, a cold run comes more often.
-LONGEST_FADE: Final = 0.01
+# The longest time decays over about a hundred answers; cold runs are more frequent.
+LONGEST_DECAY: Final = 0.01
 MEAN_WEIGHT: Final = 0.05
-# Answers are counted over about this time.
+# Time constant of the answer count, in seconds.
 RATE_SECONDS: Final = 5.0
 
 
 @dataclass(slots=True)
 class AnswerTimes:
-    """How often and how fast the servers of one service in one region answer a host.
+    """Track how often and how fast the servers of a service in a region answer.
 
-    Seconds from the send to the answer, with the wait for a slot; ``answered_at`` is
-    monotonic.
+    ``mean`` and ``longest`` are seconds from sending a request to its answer, including
+    the wait for a slot. ``recent`` is a decaying count of answers, and ``answered_at``
+    the monotonic time of the last one.
     """
 
     mean: float = 0.0
@@ -43,22 +46,22 @@
     answered_at: float = 0.0
 
     def take(self, seconds: float, now: float) -> None:
-        """Take in an answer."""
+        """Record the time that an answer took."""
         if not self.recent:
             self.mean = seconds
         self.mean += (seconds - self.mean) * MEAN_WEIGHT
-        self.longest += (seconds - self.longest) * LONGEST_FADE
+        self.longest += (seconds - self.longest) * LONGEST_DECAY
         self.longest = max(seconds, self.longest)
         self.recent = self._recent(now) + 1
         self.answered_at = now
 
-    def gap_seconds(self, servers: int, now: float) -> float:
-        """Return the mean time between two answers of one of so many servers."""
+    def mean_gap_seconds(self, servers: int, now: float) -> float:
+        """Return the mean time between two answers of one of ``servers`` servers."""
         recent = self._recent(now)
         return servers * RATE_SECONDS / recent if recent else math.inf
 
     def _recent(self, now: float) -> float:
-        """Return how many answers came lately, older ones counting less."""
+        """Return the decayed number of recent answers."""
         return self.recent * math.exp(-(now - self.answered_at) / RATE_SECONDS)
 
 
@@ -69,18 +72,18 @@
     servers: int,
     now: float,
 ) -> float:
-    """Return after how many seconds a server that answers nobody is taken for dead.
+    """Return the seconds of silence after which a server is assumed to be dead.
 
-    ``servers`` are those that ``answers`` came from.
+    ``servers`` is the number of servers that ``answers`` came from.
     """
-    by_share = max(seconds_left * SILENCE_SHARE, SILENCE_RUNS * service_seconds)
-    unheard = SILENCE_ANSWERS * answers.gap_seconds(servers, now)
-    return max(by_share, min(unheard, SILENCE_LONGEST * answers.longest))
+    by_share = max(seconds_left * SILENCE_TIME_SHARE, SILENCE_RUNS * service_seconds)
+    by_gap = SILENCE_ANSWERS * answers.mean_gap_seconds(servers, now)
+    return max(by_share, min(by_gap, SILENCE_LONGEST * answers.longest))
 
 
 def may_still_end(seconds_left: float, answers: AnswerTimes) -> bool:
-    """Tell whether another server would most likely answer before the deadline.
+    """Return True if another server would probably answer before the deadline.
 
-    Given up for one that can't, a request loses its first server's answer for nothing.
+    If it would not, abandoning the request wastes the first server's answer.
     """
     return seconds_left > answers.mean
--- a/packages/core/greengagepoint/placing/spilling.py
+++ b/packages/core/greengagepoint/placing/spilling.py
@@ -1,8 +1,8 @@
-"""Choose the server of a request, in its key's region or, failing that, in another.
+"""Choose the server of a request in its key's region or, failing that, in another one.
 
-Load answered: two availability zones of one region are emptied, or come back cold,
-while the servers of the next region idle. A caller that is refused at home beside those
-gets nothing; served there, it pays one round trip more and is mostly in time.
+Two availability zones of a region may be evacuated, or return cold, while the servers
+of the next region are idle. A caller rejected in its own region gets nothing; in the
+other region it pays one more round trip and is mostly answered in time.
 """
 
 from collections.abc import Callable, Sequence
@@ -12,56 +12,58 @@
 from greengagepoint.placing.ranking import RankCache, unit_hash
 from greengagepoint.placing.tables import Server, ServerTable
 
-# A region takes all keys that find no room elsewhere while it is this busy or less, and
-# none from the other bound on. A key runs cold there first, for as long as three warm
-# runs, so a region that is filled to the brim with such keys serves its own too late.
+# Up to the first share of slots in use, a region accepts all keys that another region
+# has no capacity for; from the second one on it accepts none. A spilled key first runs
+# cold, for as long as three warm runs, so a region filled with such keys would serve
+# its own callers too late.
 BUSY_OPEN: Final = 0.55
 BUSY_CLOSED: Final = 0.95
 
 
 def may_leave(key: str, lost: float, busy: float | None) -> bool:
-    """Tell whether a key that finds no room in its own region may run in another one.
+    """Return True if a key without a server in its region may run in another one.
 
-    ``lost`` is the part of its own region's slots that were lost lately: no larger part
-    of the keys may leave, since each of them takes the place of another one in the
-    memory of a server there. ``busy`` is the part of the other region's slots in use,
-    None where it is not known. All hosts let the same keys go first, so that these are
-    warm there when their callers come again.
+    ``lost`` is the share of slots that the key's own region lost recently. No larger
+    share of the keys may leave, because each of them evicts another key from a server's
+    memory. ``busy`` is the share of the other region's slots in use, None if unknown.
+    All hosts spill the same keys first, so those are warm in the other region when
+    their callers send again.
     """
     if busy is None:
         return False
-    room = (BUSY_CLOSED - busy) / (BUSY_CLOSED - BUSY_OPEN)
-    return unit_hash(f"spill\0{key}") < min(lost, room)
+    free_share = (BUSY_CLOSED - busy) / (BUSY_CLOSED - BUSY_OPEN)
+    return unit_hash(f"spill\0{key}") < min(lost, free_share)
 
 
 class Elsewhere(NamedTuple):
-    """Another region that may run a request, and the round trip to it in seconds."""
+    """Name another region that may run a request, and the round-trip time to it."""
 
     region: str
-    away_seconds: float
+    round_trip_seconds: float
 
 
 def choose_with_spill(
     table: ServerTable,
     ranks: RankCache,
-    wanted: Wanted,
-    elsewhere: Sequence[Elsewhere],
+    criteria: Wanted,
+    remote_regions: Sequence[Elsewhere],
     permissions: Permissions,
     may_spill: Callable[[Server], bool],
     now: float,
 ) -> Server | NoPlace:
     """Return the server for a request, or why there is none in its key's region.
 
-    ``elsewhere`` are the other regions that may run it, the best first. In time
-    elsewhere goes before late at home; nobody is sent elsewhere to be late.
+    ``remote_regions`` are the other regions that may run it, best first. An answer in
+    time from another region is preferred to a late one from the key's own region. No
+    request goes to another region if its answer would be late there.
     """
     in_time = permissions._replace(may_wait=lambda: False)
-    place = choose(table, ranks, wanted, in_time, now)
-    if isinstance(place, Server):
-        return place
-    for region, seconds in elsewhere:
-        there = wanted._replace(regions=[region], away_seconds=seconds)
-        away = choose(table, ranks, there, in_time, now)
-        if isinstance(away, Server) and may_spill(away):
-            return away
-    return choose(table, ranks, wanted, permissions, now)
+    choice = choose(table, ranks, criteria, in_time, now)
+    if isinstance(choice, Server):
+        return choice
+    for region, seconds in remote_regions:
+        remote = criteria._replace(regions=[region], round_trip_seconds=seconds)
+        remote_choice = choose(table, ranks, remote, in_time, now)
+        if isinstance(remote_choice, Server) and may_spill(remote_choice):
+            return remote_choice
+    return choose(table, ranks, criteria, permissions, now)
--- a/packages/core/greengagepoint/placing/suspicion.py
+++ b/packages/core/greengagepoint/placing/suspicion.py
@@ -1,42 +1,42 @@
-"""Spare backend servers that fail, without forgetting the keys that they hold.
+"""Avoid backend servers that fail, while keeping the keys assigned to them.
 
-Load answered: servers crash or fall silent while hosts send each of them tens of
-requests a second. Once the pause of one is over, a single request tries it; all others
-go elsewhere until that one is answered.
+Servers crash or become silent while hosts send each of them tens of requests a second.
+When the pause of a suspected server ends, a single request probes it; all others go to
+other servers until that request is answered.
 """
 
 from typing import Final
 
 from greengagepoint.placing.tables import Server
 
-# A crashed server is back in a few seconds or its entry goes; one probe by a request
-# each time that a pause ends finds out. Doubling bounds what a dead one costs.
+# A crashed server is back within a few seconds or its entry is removed. One request
+# probes it each time the pause ends; doubling the pause limits the cost of a dead one.
 PAUSE_SECONDS: Final = 0.5
 PAUSE_MAX_SECONDS: Final = 4.0
-# A trial at a silent server has failed by then, and note_failure sets the next pause: a
-# connection is given up after 0.6 s.
-TRIAL_SECONDS: Final = 1.0
+# A connection attempt times out after 0.6 s, so a probe of a silent server has failed
+# by then and set the next pause.
+PROBE_SECONDS: Final = 1.0
 
 
 def note_failure(server: Server, now: float) -> None:
-    """Spare a server after a refused connection, a reset or silence."""
+    """Suspect a server after a refused connection, a reset or silence."""
     server.failures += 1
     pause = min(PAUSE_MAX_SECONDS, PAUSE_SECONDS * 2 ** (server.failures - 1))
     server.suspect_until = now + pause
 
 
 def begin_trial(server: Server, now: float) -> None:
-    """Keep others off a server whose pause is over, while one request tries it.
+    """Suspect a failed server for longer while one request probes it.
 
-    A server that is silent shows it only after a timeout; without this, all requests of
-    that time would wait for it in vain.
+    A silent server is noticed only after a timeout. Without the probe, all requests of
+    that time would wait for it.
     """
     if server.failures:
-        server.suspect_until = max(server.suspect_until, now + TRIAL_SECONDS)
+        server.suspect_until = max(server.suspect_until, now + PROBE_SECONDS)
 
 
 def note_answer(server: Server, now: float) -> None:
-    """Trust a server again that has answered."""
+    """Clear the suspicion of a server that has answered."""
     server.answered_at = now
     server.failures = 0
     server.suspect_until = 0.0
--- a/packages/core/greengagepoint/placing/tables.py
+++ b/packages/core/greengagepoint/placing/tables.py
@@ -1,4 +1,4 @@
-"""Backend servers as hosts know them: members, load, faults and coldness."""
+"""Track the backend servers that a host knows: membership, load and failures."""
 
 import math
 from dataclasses import dataclass, field
@@ -6,20 +6,21 @@
 
 from greengagepoint.placing.typical_load import RUN_SECONDS_START, TypicalLoad
 
-# How fast a load report loses its weight, at least; it is kept for a run where runs are
-# longer, as a queue changes no faster. Dropped at a fixed age instead, a report of a
-# full queue was followed by a burst of all hosts at once.
-REPORT_MEMORY_SECONDS: Final = 1.0
-# Servers shed with two to three requests waiting for each slot.
+# Minimum time constant for the decay of a load report. If runs take longer, their
+# duration is used, because a queue changes no faster than that. If reports were dropped
+# at a fixed age, all hosts would send a burst once the report of a full queue expired.
+REPORT_DECAY_SECONDS: Final = 1.0
+# Servers shed load once two to three requests wait for each slot.
 SHEDDING_QUEUE: Final = 2
 SERVICE_SECONDS_WEIGHT: Final = 0.05
 
 
 class Incarnation(NamedTuple):
-    """One run of a backend server, which may start again under its id.
+    """Identify one incarnation of a backend server, which may restart under its id.
 
-    ``born`` is the Unix millisecond of its start, 0 where it does not say. A server
-    keeps its address for a run, so another address is another run as well.
+    ``born`` is its start time in Unix milliseconds, 0 if the server does not report it.
+    A server keeps its address until it stops, so a different address also means a
+    different incarnation.
     """
 
     instance: str
@@ -29,12 +30,14 @@
 
 @dataclass(slots=True)
 class Server:
-    """One incarnation of a backend server; times are monotonic seconds.
-
-    A newer incarnation is a new row. What is still in flight at the older one is held
-    by its own row, which is in no table any more. ``typical`` is shared by the members
-    of a service in a region. ``service_unknown`` is the part of its fixed beginning
-    that ``service_seconds`` still has.
+    """Hold the state of one incarnation of a backend server.
+
+    Times are monotonic seconds. A newer incarnation gets a new row; requests that are
+    still in flight at the older one are counted in its own row, which is no longer in
+    any table. ``others`` is the number of requests from other hosts in the
+    last load report, received at ``reported_at``. ``typical`` is shared by the members
+    of a service in a region. ``initial_weight`` is the weight that the initial value
+    still has in the moving average ``service_seconds``.
     """
 
     instance: str
@@ -52,66 +55,69 @@
     failures: int = 0
     answered_at: float = float("-inf")
     service_seconds: float = RUN_SECONDS_START
-    service_unknown: float = 1.0
+    initial_weight: float = 1.0
     born: int = 0
     typical: TypicalLoad = field(default_factory=TypicalLoad)
     incarnation: Incarnation = field(init=False)
 
     def __post_init__(self) -> None:
-        """Make the name of this run, which is looked up for each request."""
+        """Build the incarnation once, because each request looks it up."""
         self.incarnation = Incarnation(self.instance, self.born, self.address)
 
     @property
     def run_seconds(self) -> float:
-        """Return how long a run takes here, as far as this host can tell.
+        """Return the estimated duration of a run on this server.
 
-        What is not known of this server yet is taken from servers like it.
+        While this host has few measurements of the server, the estimate relies on
+        other servers of the same service and region.
         """
-        begun = self.typical.cautious_run_seconds() - RUN_SECONDS_START
-        return self.service_seconds + self.service_unknown * begun
+        correction = self.typical.cautious_run_seconds() - RUN_SECONDS_START
+        return self.service_seconds + self.initial_weight * correction
 
     def occupancy(self, now: float) -> float:
-        """Return how many requests the server holds, as far as this host can tell.
+        """Return the estimated number of requests running or queued at the server.
 
-        What other hosts have there is known from the last report. As that ages, the
-        server is taken for one like the others.
+        The requests of other hosts come from the last load report. As the report ages,
+        the estimate shifts to the typical load of servers like this one.
         """
-        memory = max(REPORT_MEMORY_SECONDS, self.run_seconds)
-        weight = math.exp(-max(0.0, now - self.reported_at) / memory)
-        unseen = self.typical.others(self.in_flight, self.slots, self.senders)
-        return self.in_flight + weight * self.others + (1 - weight) * unseen
+        decay_seconds = max(REPORT_DECAY_SECONDS, self.run_seconds)
+        weight = math.exp(-max(0.0, now - self.reported_at) / decay_seconds)
+        estimated = self.typical.estimate_others(
+            self.in_flight, self.slots, self.senders
+        )
+        return self.in_flight + weight * self.others + (1 - weight) * estimated
 
     def expected_wait(self, now: float) -> float:
-        """Return seconds that a new request waits for a slot."""
+        """Return how many seconds a new request is expected to wait for a slot."""
         ahead = self.occupancy(now) + 1 - self.slots
         return max(0.0, ahead) * self.run_seconds / self.slots
 
     def take_report(self, running: int, waiting: int, now: float) -> None:
-        """Take in how many requests the server says that it holds."""
+        """Apply a load report that this host received from the server."""
         self.others = max(0, running + waiting - self.in_flight)
         self.reported_at = now
-        self.typical.take((running + waiting) / self.slots)
+        self.typical.record_load((running + waiting) / self.slots)
 
-    def take_shared(self, held: int, at: float) -> None:
-        """Take in what another host was told of this server's requests."""
+    def apply_peer_report(self, held: int, at: float) -> None:
+        """Apply a load report that a peer received from the server at time ``at``."""
         self.others = max(0, held - self.in_flight)
         self.reported_at = at
 
     def take_shedding(self, now: float) -> None:
-        """Take in that the server's queue is full, where it did not tell its load."""
+        """Assume a full queue after the server shed a request without a load report."""
         self.take_report(self.slots, SHEDDING_QUEUE * self.slots, now)
 
     def take_service_time(self, seconds: float) -> None:
-        """Take in how long a request ran, without its wait for a slot."""
+        """Record the run time of a request, excluding its wait for a slot."""
         difference = seconds - self.service_seconds
         self.service_seconds += SERVICE_SECONDS_WEIGHT * difference
-        self.service_unknown *= 1 - SERVICE_SECONDS_WEIGHT
-        self.typical.take_run(seconds)
+        self.initial_weight *= 1 - SERVICE_SECONDS_WEIGHT
+        self.typical.record_run(seconds)
 
 
 @dataclass(slots=True)
 class Members:
-    """Servers of one service in one region that may get requests."""
+    """Hold the servers of one service in one region that may receive requests."""
 
     servers: tuple[Server, ...] = ()
     slots: int = 0
@@ -119,11 +125,11 @@
 
 @dataclass(slots=True)
 class ServerTable:
-    """All backend servers, and which of them may get requests.
+    """Hold all backend servers and track which of them may receive requests.
 
-    ``servers`` holds the newest incarnation of each id. ``services`` are those that
-    may have members, None while that is not known. ``version`` changes whenever
-    membership does, so that ranks can be kept by it.
+    ``servers`` holds the newest incarnation of each id. ``services`` lists the services
+    that may have members, None while they are unknown. ``version`` changes with the
+    membership, so that cached ranks can be invalidated.
     """
 
     servers: dict[str, Server] = field(default_factory=dict)
@@ -140,20 +146,20 @@
         return self.members.get((service, region), NO_MEMBERS)
 
     def regions_of(self, service: str) -> tuple[str, ...]:
-        """Return the regions in which a service has members, in order of name."""
+        """Return the regions in which a service has members, sorted by name."""
         return self.regions.get(service, ())
 
     def holds(self, server: Server) -> bool:
-        """Tell whether a server is the newest incarnation of its id."""
+        """Return True if a server is the newest incarnation of its id."""
         return self.servers.get(server.instance) is server
 
     def set_senders(self, senders: int) -> None:
-        """Take in how many hosts send to the same servers as this one."""
+        """Set how many hosts, including this one, send to the same servers."""
         for server in self.servers.values():
             server.senders = senders
 
     def rebuild(self) -> None:
-        """Work out the members again after a change."""
+        """Recompute the members after a change."""
         self.version += 1
         grouped: dict[tuple[str, str], list[Server]] = {}
         for server in filter(self._is_eligible, self.servers.values()):
@@ -170,11 +176,11 @@
         self.regions = {service: tuple(names) for service, names in regions.items()}
 
     def is_member(self, server: Server) -> bool:
-        """Tell whether a server may get requests now, as far as this host knows."""
+        """Return True if a server may receive requests now."""
         return self.holds(server) and self._is_eligible(server)
 
     def _is_eligible(self, server: Server) -> bool:
-        """Tell whether a server has a service, stays, and is in no evacuated zone."""
+        """Return True if a server's service, state and zone let it receive requests."""
         if self.services is not None and server.service not in self.services:
             return False
         if server.incarnation in self.leaving:
--- a/packages/core/greengagepoint/placing/warm_keys.py
+++ b/packages/core/greengagepoint/placing/warm_keys.py
@@ -1,9 +1,9 @@
-"""Remember on which backend servers each key ran lately, as far as this host saw.
+"""Track the backend servers on which this host recently ran each key.
 
-Load answered: a server that is busy, leaves or joins makes keys run elsewhere, and a
-run on a server that has not had the key takes three times as long. A key that has run
-on a second server is warm on both, so the next callers can use whichever is free, and
-servers that join take keys over at a pace instead of all at once.
+A server that is busy, leaves or joins makes keys run on other servers, and a run on a
+server that has not had the key takes three times as long. A key that has run on a
+second server is warm on both, so the next callers can use whichever is free, and a
+server that joins takes over keys at a limited rate instead of all at once.
 """
 
 from dataclasses import dataclass, field
@@ -11,21 +11,21 @@
 
 from greengagepoint.placing.tables import Incarnation
 
-# Bounds the memory for keys and the servers of each.
+# Limits the memory for keys and their servers.
 KEYS_MAX: Final = 10_000
-# Servers keep the last few dozen objects that they worked on; one that was used this
-# lately is still among them.
+# Servers cache the last few dozen objects that they worked on. An object used within
+# this time is still cached.
 WARM_SECONDS: Final = 20.0
 
 
 @dataclass(slots=True)
 class WarmKeys:
-    """Servers by key, with the time of the last run; monotonic seconds."""
+    """Hold the servers of each key with the monotonic time of the last run there."""
 
     runs: dict[str, dict[Incarnation, float]] = field(default_factory=dict)
 
     def note(self, key: str, server: Incarnation, now: float) -> None:
-        """Take in that a key runs on a server."""
+        """Record that a key runs on a server."""
         servers = self.runs.pop(key, {})
         servers[server] = now
         self.runs[key] = servers
@@ -33,11 +33,11 @@
             del self.runs[next(iter(self.runs))]
 
     def forget(self, key: str, server: Incarnation) -> None:
-        """Take in that a key did not run on a server after all."""
+        """Drop a server from a key's warm servers, as the key did not run there."""
         self.runs.get(key, {}).pop(server, None)
 
     def servers(self, key: str, now: float) -> tuple[Incarnation, ...]:
-        """Return where a key is warm, in the order of its first runs there."""
+        """Return the servers that are warm for a key, in the order of the first run."""
         found = self.runs.get(key)
         if not found:
             return ()
--- a/packages/core/tests/test_placing_choice.py
+++ b/packages/core/tests/test_placing_choice.py
@@ -190,7 +190,7 @@
     after = NOW + suspicion.PAUSE_SECONDS
     assert row.suspect_until <= after
     suspicion.begin_trial(row, after)
-    assert row.suspect_until == after + suspicion.TRIAL_SECONDS
+    assert row.suspect_until == after + suspicion.PROBE_SECONDS
     suspicion.note_answer(row, after)
     suspicion.begin_trial(row, after)
     assert row.suspect_until == 0.0
--- a/packages/core/tests/test_placing_cold_start.py
+++ b/packages/core/tests/test_placing_cold_start.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from greengagepoint.placing.cold_start import START_SECONDS, ColdStartLimiter
+from greengagepoint.placing.cold_start import STARTUP_SECONDS, ColdStartLimiter
 from greengagepoint.placing.tables import Incarnation
 
 RATE = 5.8
@@ -50,7 +50,7 @@
 def test_hosts_that_start_together_send_nothing_before_they_know_each_other():
     hosts = [f"h{number}" for number in range(12)]
     alone = {name: [name] for name in hosts}
-    assert most_in_a_second(alone, seconds=START_SECONDS, started_at=0.0) == 0
+    assert most_in_a_second(alone, seconds=STARTUP_SECONDS, started_at=0.0) == 0
 
 
 def test_what_is_kept_of_gone_servers_is_forgotten():
--- a/packages/core/tests/test_placing_server_silence.py
+++ b/packages/core/tests/test_placing_server_silence.py
@@ -50,8 +50,8 @@
 
 def test_a_host_that_heard_nothing_for_long_does_not_take_it_for_silence():
     times, now = answers(*[0.5] * 50)
-    assert times.gap_seconds(8, now) < 2
-    assert times.gap_seconds(8, now + 60) > 1_000
+    assert times.mean_gap_seconds(8, now) < 2
+    assert times.mean_gap_seconds(8, now + 60) > 1_000
 
 
 @pytest.mark.parametrize(("left", "expected"), [(0.4, False), (0.7, True)])
--- a/packages/core/tests/test_placing_typical_load.py
+++ b/packages/core/tests/test_placing_typical_load.py
@@ -9,7 +9,7 @@
 def typical(*busy):
     load = TypicalLoad()
     for part in busy:
-        load.take(part)
+        load.record_load(part)
     return load
 
 
@@ -34,15 +34,15 @@
     # Servers of 9 slots are half busy. One request of this host must not make a server
     # look as if 65 hosts had one there, which would send the next one to run cold.
     load = typical(*[0.5] * 20)
-    assert least <= load.others(own, 9, senders) <= most
+    assert least <= load.estimate_others(own, 9, senders) <= most
 
 
 def test_before_any_report_others_do_as_this_host():
-    assert TypicalLoad().others(2, 9, 4) == 6
+    assert TypicalLoad().estimate_others(2, 9, 4) == 6
 
 
 def test_idle_servers_are_known_to_be_idle():
-    assert typical(*[0.0] * 5).others(0, 9, 65) == 0
+    assert typical(*[0.0] * 5).estimate_others(0, 9, 65) == 0
 
 
 def test_long_queues_do_not_make_unknown_servers_look_full():
@@ -62,7 +62,7 @@
     # Runs take 1.1 s. Taken for 0.3 s, a queue of 18 looks like 0.6 s and takes 2.2 s.
     server = Server("i-1", "booking", "", "zone-a", "north", 9, senders=65)
     for _ in range(50):
-        server.typical.take_run(1.1)
+        server.typical.record_run(1.1)
     assert server.run_seconds == pytest.approx(2.2, rel=0.1)
     for _ in range(100):
         server.take_service_time(0.9)
@@ -74,6 +74,6 @@
     # keys would leave the servers that are warm for them, and more runs be cold.
     load = TypicalLoad()
     for _ in range(200):
-        load.take_run(0.2)
-        load.take_run(0.8)
+        load.record_run(0.2)
+        load.record_run(0.8)
     assert load.cautious_run_seconds() < 0.5
