--- a/packages/core/tests/placing_fleet.py
+++ b/packages/core/tests/placing_fleet.py
@@ -1,4 +1,4 @@
-"""Play a load: hosts that share servers without seeing each other's requests."""
+"""Simulate hosts that share servers without seeing each other's requests."""
 
 import heapq
 import random
@@ -18,35 +18,35 @@
 
 SERVICE = "booking"
 REGION = "attiki"
-FAR_REGION = "dytiki"
-FAR_SECONDS = 0.04
-QUEUE = 27
+REMOTE_REGION = "dytiki"
+REMOTE_ROUND_TRIP_SECONDS = 0.04
+QUEUE_LIMIT = 27
 
 
 class Workload(NamedTuple):
-    """What callers ask for, and what a run of it takes; seconds.
+    """Set the goal, the deadline and the run times of requests, in seconds.
 
-    A server runs the last ``kept_keys`` keys that it worked on warm.
+    A server is warm for the last ``cached_keys`` keys that it ran.
     """
 
     goal: float = 0.4
     deadline: float = 2.5
     cold_seconds: float = 0.48
     warm_seconds: float = 0.144
-    kept_keys: int = 60
+    cached_keys: int = 60
 
 
-SMALL = Workload()
+DEFAULT_WORKLOAD = Workload()
 
 Policy = Callable[["Host", str, float, random.Random], Server | NoPlace]
 
 
 @dataclass
-class Machine:
-    """What a backend server really does."""
+class SimulatedServer:
+    """Simulate a backend server with its slots, queue and warm keys."""
 
     slots: int
-    workload: Workload = SMALL
+    workload: Workload = DEFAULT_WORKLOAD
     busy: int = 0
     queue: list = field(default_factory=list)
     warm: OrderedDict = field(default_factory=OrderedDict)
@@ -56,27 +56,27 @@
         seconds = load.warm_seconds if key in self.warm else load.cold_seconds
         self.warm[key] = True
         self.warm.move_to_end(key)
-        if len(self.warm) > load.kept_keys:
+        if len(self.warm) > load.cached_keys:
             self.warm.popitem(last=False)
         return seconds
 
 
 class Host:
-    """One entry host's view."""
+    """Hold the state from which one host chooses servers."""
 
     def __init__(
         self,
         servers: int,
         slots: int,
         hosts: int,
-        far: int = 0,
-        workload: Workload = SMALL,
+        remote: int = 0,
+        workload: Workload = DEFAULT_WORKLOAD,
     ) -> None:
         self.workload = workload
         self.table = ServerTable()
-        for index in range(servers + far):
+        for index in range(servers + remote):
             name = f"i-{index}"
-            region = REGION if index < servers else FAR_REGION
+            region = REGION if index < servers else REMOTE_REGION
             self.table.servers[name] = Server(
                 name, SERVICE, "", "zone", region, slots, senders=hosts
             )
@@ -92,69 +92,75 @@
 
 @dataclass
 class Outcome:
-    """What callers got."""
+    """Count requests by their result."""
 
     in_time: int = 0
     late: int = 0
-    refused: int = 0
+    rejected: int = 0
     shed: int = 0
 
     @property
-    def asked(self) -> int:
-        return self.in_time + self.late + self.refused + self.shed
+    def total(self) -> int:
+        return self.in_time + self.late + self.rejected + self.shed
 
 
-def by_key(host: Host, key: str, now: float, _: random.Random) -> Server | NoPlace:
-    """Choose as the product does."""
+def choose_by_key(
+    host: Host, key: str, now: float, _: random.Random
+) -> Server | NoPlace:
+    """Choose as a host does within one region."""
     warm = host.warm_keys.servers(key, now)
     load = host.workload
-    wanted = Wanted(SERVICE, [REGION], key, load.goal, load.deadline, warm=warm)
+    criteria = Wanted(SERVICE, [REGION], key, load.goal, load.deadline, warm=warm)
     host.waiting.deposit()
     host.moving.deposit()
     permissions = Permissions(
         lambda _: True, host.waiting.withdraw, host.moving.withdraw
     )
-    place = choose(host.table, host.ranks, wanted, permissions, now)
-    if isinstance(place, Server):
-        host.warm_keys.note(key, place.incarnation, now)
-    return place
+    chosen = choose(host.table, host.ranks, criteria, permissions, now)
+    if isinstance(chosen, Server):
+        host.warm_keys.note(key, chosen.incarnation, now)
+    return chosen
 
 
-def spilling(host: Host, key: str, now: float, _: random.Random) -> Server | NoPlace:
-    """Choose as the product does where another region may run the key as well."""
+def choose_with_spilling(
+    host: Host, key: str, now: float, _: random.Random
+) -> Server | NoPlace:
+    """Choose as a host does if another region may run the key too."""
     warm = host.warm_keys.servers(key, now)
     load = host.workload
-    wanted = Wanted(SERVICE, [REGION], key, load.goal, load.deadline, warm=warm)
+    criteria = Wanted(SERVICE, [REGION], key, load.goal, load.deadline, warm=warm)
     host.waiting.deposit()
     permissions = Permissions(lambda _: True, host.waiting.withdraw, lambda: False)
 
     def may_spill(server: Server) -> bool:
         return may_leave(key, host.lost, host.loads.busy(SERVICE, server.region, now))
 
-    elsewhere = [Elsewhere(FAR_REGION, FAR_SECONDS)]
-    place = choose_with_spill(
-        host.table, host.ranks, wanted, elsewhere, permissions, may_spill, now
+    remote_regions = [Elsewhere(REMOTE_REGION, REMOTE_ROUND_TRIP_SECONDS)]
+    chosen = choose_with_spill(
+        host.table, host.ranks, criteria, remote_regions, permissions, may_spill, now
     )
-    if isinstance(place, Server):
-        host.warm_keys.note(key, place.incarnation, now)
-    return place
+    if isinstance(chosen, Server):
+        host.warm_keys.note(key, chosen.incarnation, now)
+    return chosen
 
 
-def others_alike(host: Host, key: str, now: float, rng: random.Random):
-    """Take other hosts to do as this one, as the former estimate did."""
+def choose_assuming_equal_peers(host: Host, key: str, now: float, rng: random.Random):
+    """Choose by key, but assume that each peer sends as much as this host."""
     for typical in host.table.typical.values():
         typical.busy = None
-    return by_key(host, key, now, rng)
+    return choose_by_key(host, key, now, rng)
 
 
-def least_loaded(host: Host, _key: str, now: float, rng: random.Random) -> Server:
-    """Choose the less loaded of two at random: the simplest policy."""
+def choose_less_loaded_of_two(
+    host: Host, _key: str, now: float, rng: random.Random
+) -> Server:
+    """Choose the less loaded of two random servers, the simplest policy."""
     rows = rng.sample(list(host.table.servers.values()), 2)
     return min(rows, key=lambda row: row.occupancy(now))
 
 
-def down_the_ranks(host: Host, key: str, now: float, _: random.Random) -> Server:
-    """Go on to the next server of the key whenever one is busy: the former policy."""
+def choose_next_in_rank(host: Host, key: str, now: float, _: random.Random) -> Server:
+    """Choose the first ranked server with a short wait, though it may be cold."""
     ranked = host.ranks.rank(host.table, SERVICE, REGION, key)
     for server in ranked:
         if server.expected_wait(now) <= host.workload.goal / 2:
@@ -162,7 +168,7 @@
     return min(ranked, key=lambda row: row.expected_wait(now))
 
 
-def play(
+def simulate(
     policy: Policy,
     *,
     rate: float,
@@ -173,26 +179,26 @@
     slots: int = 9,
     keys: int = 120,
     seed: int = 1,
-    far: int = 0,
-    far_rate: float = 0.0,
+    remote: int = 0,
+    remote_busy: float = 0.0,
     lost: float = 0.0,
-    workload: Workload = SMALL,
-    news_seconds: float | None = None,
+    workload: Workload = DEFAULT_WORKLOAD,
+    report_seconds: float | None = None,
 ) -> Outcome:
-    """Let callers arrive at a rate and count how they fare.
+    """Simulate callers that arrive at ``rate`` and return the results.
 
-    ``far`` servers stand in another region, where other callers take up ``far_rate``
-    of their slots all the time; ``lost`` is the part of its own slots that the region
-    has lost. News of full servers takes ``news_seconds`` on the mean to each host, None
-    where they do not tell each other.
+    ``remote`` servers are in another region, where other callers constantly use
+    ``remote_busy`` of their slots. ``lost`` is the share of its own slots that the
+    local region has lost. A report of a full server reaches each host after
+    ``report_seconds`` on average; None if hosts do not share reports.
     """
     rng = random.Random(seed)
-    fleet = [Host(servers, slots, hosts, far, workload) for _ in range(hosts)]
+    fleet = [Host(servers, slots, hosts, remote, workload) for _ in range(hosts)]
     for host in fleet:
         host.lost = lost
-    machines = [Machine(slots, workload) for _ in range(servers + far)]
+    machines = [SimulatedServer(slots, workload) for _ in range(servers + remote)]
     for machine in machines[servers:]:
-        machine.slots = round(slots * (1 - far_rate))
+        machine.slots = round(slots * (1 - remote_busy))
     outcome, events, sequence = Outcome(), [], 0
     at = 0.0
     while at < seconds:
@@ -208,17 +214,17 @@
         ends_at = now + machine.run_seconds(call[1])
         heapq.heappush(events, (ends_at, sequence, "end", call, index))
 
-    def tell(machine, index, now):
-        """Send news of a full server to all hosts, each of which has it later."""
+    def share_load(machine, index, now):
+        """Send the load of a full server to all hosts, each with its own delay."""
         nonlocal sequence
         held = machine.busy + len(machine.queue)
-        if news_seconds is None or held < slots:
+        if report_seconds is None or held < slots:
             return
         for number in range(hosts):
-            at = now + news_seconds * rng.uniform(0.3, 1.7)
-            news = BusyServer(f"i-{index}", 0, held, round((at - now) * 1000))
+            at = now + report_seconds * rng.uniform(0.3, 1.7)
+            report = BusyServer(f"i-{index}", 0, held, round((at - now) * 1000))
             sequence += 1
-            heapq.heappush(events, (at, sequence, "news", (number,), news))
+            heapq.heappush(events, (at, sequence, "report", (number,), report))
 
     def count(name, call):
         if call[2] >= measured_from:
@@ -227,30 +233,32 @@
     while events:
         now, _, kind, call, index = heapq.heappop(events)
         host = fleet[call[0]]
-        if kind == "news":
+        if kind == "report":
             host.busy_servers.take([index], host.table, now)
             continue
         if kind == "arrive":
-            if far:
-                taken = slots * far - sum(row.slots for row in machines[servers:])
-                held = taken + sum(row.busy for row in machines[servers:])
-                busy = RegionLoad(FAR_REGION, SERVICE, held / (slots * far), 0.0)
+            if remote:
+                remote_used = slots * remote - sum(
+                    row.slots for row in machines[servers:]
+                )
+                held = remote_used + sum(row.busy for row in machines[servers:])
+                busy = RegionLoad(REMOTE_REGION, SERVICE, held / (slots * remote), 0.0)
                 host.loads.take([busy], now)
             server = policy(host, call[1], now, rng)
             if isinstance(server, NoPlace):
-                count("refused", call)
+                count("rejected", call)
                 continue
             index = int(server.instance[2:])
             machine = machines[index]
             if machine.busy < machine.slots:
                 server.in_flight += 1
                 start(machine, index, call, now)
-            elif len(machine.queue) < QUEUE:
+            elif len(machine.queue) < QUEUE_LIMIT:
                 server.in_flight += 1
                 machine.queue.append(call)
             else:
-                server.take_report(slots, QUEUE, now)
-                tell(machine, index, now)
+                server.take_report(slots, QUEUE_LIMIT, now)
+                share_load(machine, index, now)
                 count("shed", call)
             continue
         machine = machines[index]
@@ -260,7 +268,7 @@
         server.take_report(
             slots - machine.slots + machine.busy, len(machine.queue), now
         )
-        tell(machine, index, now)
+        share_load(machine, index, now)
         if not machine.queue:
             server.take_service_time(now - call[2])
         count("in_time" if now - call[2] <= workload.goal else "late", call)
--- a/packages/core/tests/test_placing_busy_servers.py
+++ b/packages/core/tests/test_placing_busy_servers.py
@@ -1,4 +1,4 @@
-"""News of full servers between hosts."""
+"""Reports of full servers that hosts share."""
 
 import pytest
 
@@ -24,18 +24,20 @@
     return rows
 
 
-def test_a_full_server_is_known_to_a_host_that_never_met_it():
-    # One host's request waited behind 18 others. Another host, whose caller comes next,
-    # would send it to the same server and make it late.
-    here, there = table(), table()
-    teller, hearer = BusyServers(), BusyServers()
-    teller.note(here.servers["i-0"], 27, NOW)
-    hearer.take(teller.shared(NOW + 0.5), there, NOW + 0.6)
-    assert there.servers["i-0"].occupancy(NOW + 0.6) == pytest.approx(27, rel=0.5)
-    assert there.servers["i-1"].occupancy(NOW + 0.6) == 0
+def test_a_report_of_a_full_server_reaches_a_host_that_never_sent_to_it():
+    # One host's request waited behind 18 others. Without the report, another host would
+    # send its next request to the same server and answer it late.
+    sender_table, receiver_table = table(), table()
+    sender, receiver = BusyServers(), BusyServers()
+    sender.note(sender_table.servers["i-0"], 27, NOW)
+    receiver.take(sender.shared(NOW + 0.5), receiver_table, NOW + 0.6)
+    assert receiver_table.servers["i-0"].occupancy(NOW + 0.6) == pytest.approx(
+        27, rel=0.5
+    )
+    assert receiver_table.servers["i-1"].occupancy(NOW + 0.6) == 0
 
 
-def test_news_is_passed_on_with_its_age():
+def test_a_forwarded_report_keeps_its_age():
     rows = [BusyServers() for _ in range(3)]
     rows[0].note(table().servers["i-0"], 20, NOW)
     rows[1].take(rows[0].shared(NOW + 0.5), table(), NOW + 0.5)
@@ -43,15 +45,15 @@
     assert rows[2].shared(NOW + 1.5) == [BusyServer("i-0", 0, 20, 1500)]
 
 
-def test_a_host_believes_its_own_newer_report():
+def test_a_newer_own_report_takes_precedence():
     servers = table()
-    mine = servers.servers["i-0"]
-    mine.take_report(2, 0, NOW)
+    own_row = servers.servers["i-0"]
+    own_row.take_report(2, 0, NOW)
     BusyServers().take([BusyServer("i-0", 0, 27, 300)], servers, NOW)
-    assert mine.occupancy(NOW) == 2
+    assert own_row.occupancy(NOW) == 2
 
 
-def test_a_server_with_free_slots_is_news_no_more():
+def test_a_server_with_free_slots_is_no_longer_shared():
     busy = BusyServers()
     server = table().servers["i-0"]
     busy.note(server, 20, NOW)
@@ -59,7 +61,7 @@
     assert busy.shared(NOW + 0.2) == []
 
 
-def test_old_news_is_dropped_and_the_newest_is_sent():
+def test_old_reports_are_dropped_and_the_newest_are_sent():
     busy = BusyServers()
     servers = table(SHARED_MAX + 10)
     for number in range(SHARED_MAX + 10):
@@ -70,15 +72,15 @@
     assert busy.shared(NOW + AGE_MAX_SECONDS + 1) == []
 
 
-def test_news_of_servers_that_are_not_known_is_passed_over():
+def test_reports_of_unknown_servers_are_ignored():
     busy = BusyServers()
     busy.take([BusyServer("i-9", 0, 20, 100)], table(), NOW)
     assert busy.shared(NOW) == []
 
 
-def test_news_of_a_former_run_says_nothing_of_the_present_one():
-    # A full server ends and starts again under its id. Taken for full, it would get no
-    # request of the keys that it is to have.
+def test_a_report_of_an_earlier_incarnation_is_not_applied():
+    # A full server stops and restarts under its id. If it still counted as full, it
+    # would receive no requests for the keys that rank it first.
     servers = table()
     BusyServers().take([BusyServer("i-0", 5, 27, 300)], servers, NOW)
     assert servers.servers["i-0"].occupancy(NOW) == 0
--- a/packages/core/tests/test_placing_choice.py
+++ b/packages/core/tests/test_placing_choice.py
@@ -44,17 +44,17 @@
     return [row.instance for row in rows]
 
 
-def four():
+def four_servers():
     return table_of(*(server(f"i-{number}") for number in range(4)))
 
 
-def load(table, instance, running, waiting=0):
+def apply_load(table, instance, running, waiting=0):
     table.servers[instance].take_report(running, waiting, NOW)
 
 
 def test_a_key_goes_to_the_same_server_from_every_host():
-    assert len({chosen(four()) for _ in range(5)}) == 1
-    assert chosen(four()) == ranked(four())[0]
+    assert len({chosen(four_servers()) for _ in range(5)}) == 1
+    assert chosen(four_servers()) == ranked(four_servers())[0]
 
 
 @pytest.mark.parametrize(
@@ -76,15 +76,17 @@
         "second full",
     ],
 )
-def test_a_warm_server_is_left_only_for_a_second_one_with_room(first, second, expected):
-    # Third and fourth servers are idle, but a key that runs on them crowds out theirs.
-    table = four()
+def test_a_request_leaves_a_warm_server_only_for_a_second_one_with_free_slots(
+    first, second, expected
+):
+    # The third and fourth servers are idle, but the key would evict theirs.
+    table = four_servers()
     order = ranked(table)
-    load(table, order[0], *first)
-    load(table, order[1], *second)
-    place = chosen(table)
-    assert place == (order[expected] if expected is not None else place)
-    assert isinstance(place, NoPlace) == (expected is None)
+    apply_load(table, order[0], *first)
+    apply_load(table, order[1], *second)
+    result = chosen(table)
+    assert result == (order[expected] if expected is not None else result)
+    assert isinstance(result, NoPlace) == (expected is None)
 
 
 @pytest.mark.parametrize(
@@ -97,73 +99,69 @@
     ],
     ids=["both free", "first full", "both full", "second longer"],
 )
-def test_of_two_warm_servers_the_one_with_the_shorter_wait_is_used(
-    first, second, expected
-):
-    table = four()
+def test_the_warm_server_with_the_shorter_wait_is_used(first, second, expected):
+    table = four_servers()
     order = ranked(table)
-    load(table, order[0], *first)
-    load(table, order[1], *second)
+    apply_load(table, order[0], *first)
+    apply_load(table, order[1], *second)
     assert chosen(table, warm=tuple(order)) == order[expected]
 
 
 @pytest.mark.parametrize(
     ("may_move", "running", "expected"), [(False, 0, 1), (True, 0, 0), (True, 3, 1)]
 )
-def test_a_joined_server_takes_a_key_only_by_allowance_and_while_idle(
+def test_a_key_moves_to_a_joined_server_only_with_permission_and_while_it_is_idle(
     may_move, running, expected
 ):
-    # A server joins and comes first for a key that is warm on another one. Whoever asks
-    # for the key next would wait for a cold run, and so would the callers of all other
-    # keys that the server is to have.
-    table = four()
+    # A server joins and ranks first for a key that is warm on another one. The key's
+    # next caller would wait for a cold run, and so would the callers of all other keys
+    # that rank the server first.
+    table = four_servers()
     order = ranked(table)
-    load(table, order[0], running)
+    apply_load(table, order[0], running)
     assert chosen(table, warm=(order[1],), may_move=may_move) == order[expected]
 
 
-@pytest.mark.parametrize("hindrance", ["tried", "suspected", "just started"])
-def test_another_server_is_used_where_none_of_the_ranks_can_be(hindrance):
-    table = four()
+@pytest.mark.parametrize("obstacle", ["tried", "suspected", "just started"])
+def test_an_unranked_server_is_used_if_no_ranked_one_can_be(obstacle):
+    table = four_servers()
     order = ranked(table)
     for instance in order:
-        if hindrance == "suspected":
+        if obstacle == "suspected":
             suspicion.note_failure(table.servers[instance], NOW)
-        if hindrance == "just started":
+        if obstacle == "just started":
             table.servers[instance].cold_until = NOW + 3
-    tried = order if hindrance == "tried" else ()
-    place = chosen(table, tried=tried, may_send=False)
-    assert place in set(table.servers) - set(order)
+    tried = order if obstacle == "tried" else ()
+    result = chosen(table, tried=tried, may_send=False)
+    assert result in set(table.servers) - set(order)
 
 
-def test_when_all_are_busy_the_caller_hears_at_once_when_to_come_back():
-    table = four()
+def test_if_all_servers_are_busy_the_caller_is_told_when_to_retry():
+    table = four_servers()
     for row in table.servers.values():
-        load(table, row.instance, 4, 12)
-    place = chosen(table)
-    assert place.servers_known
-    assert 0.3 <= place.retry_seconds < 2.0
+        apply_load(table, row.instance, 4, 12)
+    result = chosen(table)
+    assert result.servers_known
+    assert 0.3 <= result.retry_seconds < 2.0
 
 
 @pytest.mark.parametrize(
     ("waiting", "served"), [(6, True), (10, True), (14, False), (40, False)]
 )
-def test_a_caller_who_may_wait_does_so_only_for_an_answer_before_the_deadline(
-    waiting, served
-):
-    table = four()
+def test_a_caller_waits_only_for_an_answer_before_the_deadline(waiting, served):
+    table = four_servers()
     for row in table.servers.values():
-        load(table, row.instance, 4, waiting)
-    place = chosen(table, may_wait=True)
-    assert (place == ranked(table)[0]) == served
+        apply_load(table, row.instance, 4, waiting)
+    result = chosen(table, may_wait=True)
+    assert (result == ranked(table)[0]) == served
 
 
-def test_without_servers_there_is_no_place():
+def test_no_server_is_chosen_if_there_is_none():
     assert chosen(table_of()) == NoPlace(1.0, servers_known=False)
 
 
 @pytest.mark.parametrize("how", ["leaving", "evacuated"])
-def test_nothing_goes_to_a_server_that_leaves_or_stands_in_an_evacuated_zone(how):
+def test_servers_that_leave_or_are_in_an_evacuated_zone_are_not_chosen(how):
     table = table_of(server("i-1", zone="a"), server("i-2", zone="b"))
     if how == "leaving":
         table.leaving.add(table.servers["i-1"].incarnation)
@@ -173,8 +171,8 @@
     assert all(chosen(table, key=f"k{number}") == "i-2" for number in range(20))
 
 
-def test_a_server_that_failed_is_spared_and_then_gets_its_keys_back():
-    table = four()
+def test_a_failed_server_is_avoided_until_it_answers():
+    table = four_servers()
     first, second = ranked(table)[:2]
     suspicion.note_failure(table.servers[first], NOW)
     assert chosen(table) == second
@@ -182,9 +180,9 @@
     assert chosen(table) == first
 
 
-def test_only_one_request_at_a_time_tries_a_server_that_failed():
-    # A server is silent. Each time that its pause ends, all requests of the next 0.6 s
-    # would wait for it until their connections time out; one is enough to find out.
+def test_only_one_request_at_a_time_probes_a_failed_server():
+    # A server is silent. Each time its pause ends, all requests of the next 0.6 s would
+    # wait for it until their connections time out; one is enough to check it.
     row = server("i-1")
     suspicion.note_failure(row, NOW)
     after = NOW + suspicion.PAUSE_SECONDS
@@ -196,7 +194,7 @@
     assert row.suspect_until == 0.0
 
 
-def test_the_pause_of_a_failing_server_grows_to_its_bound():
+def test_the_pause_of_a_failing_server_doubles_up_to_its_limit():
     row = server("i-1")
     pauses = []
     for _ in range(6):
@@ -205,21 +203,21 @@
     assert pauses == [0.5, 1.0, 2.0, 4.0, 4.0, 4.0]
 
 
-def test_when_all_are_suspected_one_is_tried_all_the_same():
-    table = four()
+def test_if_all_servers_are_suspected_one_is_still_chosen():
+    table = four_servers()
     for row in table.servers.values():
         suspicion.note_failure(row, NOW)
     assert chosen(table) in table.servers
 
 
 def test_a_retry_goes_to_another_server():
-    table = four()
+    table = four_servers()
     first, second = ranked(table)[:2]
     assert chosen(table, tried={first}) == second
 
 
-def test_a_cold_server_is_used_only_by_permission():
-    table = four()
+def test_a_cold_server_is_used_only_with_permission():
+    table = four_servers()
     first = ranked(table)[0]
     table.servers[first].cold_until = NOW + 3
     assert chosen(table, may_send=False) != first
@@ -227,17 +225,17 @@
 
 
 def test_requests_without_a_key_go_to_the_least_loaded_server():
-    table = four()
+    table = four_servers()
     for number, running in enumerate((2, 1, 0, 2)):
-        load(table, f"i-{number}", running)
+        apply_load(table, f"i-{number}", running)
     assert chosen(table, key=None) == "i-2"
 
 
 def test_requests_without_a_key_use_all_slots():
-    # No server is warmer than another one for them, so none is held back for others.
-    table = four()
+    # No server is warmer than another for them, so slots need not be reserved.
+    table = four_servers()
     for number in range(4):
-        load(table, f"i-{number}", 4, number)
+        apply_load(table, f"i-{number}", 4, number)
     assert chosen(table, key=None) == "i-0"
 
 
@@ -246,8 +244,8 @@
     [(0.0, 0, 8), (0.0, 2, 10), (1.0, 0, 4.46), (30.0, 0, 2.4), (30.0, 2, 5.6)],
     ids=["fresh", "fresh and own", "a second old", "old", "old, and own"],
 )
-def test_a_report_fades_into_what_servers_are_like(age, own, expected):
-    # All 4 slots of the servers are in use, one by each of 4 hosts.
+def test_a_report_decays_to_the_typical_load(age, own, expected):
+    # All 4 slots of the server are in use, one by each of 4 hosts.
     row = server("i-1", senders=4)
     row.take_report(4, 4, NOW - age)
     row.in_flight = own
--- a/packages/core/tests/test_placing_regions.py
+++ b/packages/core/tests/test_placing_regions.py
@@ -38,17 +38,18 @@
         ({"a": 3.0, "b": 1.0, "c": 0.0}, {"a": 0.75, "b": 0.25}),
     ],
 )
-def test_a_region_without_servers_has_no_part(slots, weights):
+def test_a_region_without_servers_gets_no_keys(slots, weights):
     assert wanted_weights(slots) == weights
 
 
-def test_without_servers_there_is_no_region():
+def test_no_region_is_chosen_without_servers():
     assert region_for_key("k", {}) is None
 
 
 def test_a_lost_region_moves_only_its_own_keys():
-    # A zone is evacuated, or its servers crash. Its keys have to run somewhere else and
-    # run cold there; were others to move too, they would run cold for nothing.
+    # A region loses its servers to an evacuation or a crash. Its keys have to run in
+    # other regions and run cold there; if other keys moved too, they would run cold
+    # needlessly.
     before = wanted_weights(SLOTS)
     after = wanted_weights({**SLOTS, "kentriki": 0.0})
     for number in range(2_000):
@@ -56,19 +57,22 @@
         assert was in ("kentriki", region_for_key(f"k{number}", after))
 
 
-@given(now=PARTS, wanted=PARTS, most=st.floats(0.001, 0.2))
-def test_keys_move_by_no_more_than_they_may(now, wanted, most):
-    now, wanted = wanted_weights(now), wanted_weights(wanted)
-    moved = moved_toward(now, wanted, most)
+@given(now=PARTS, target=PARTS, limit=st.floats(0.001, 0.2))
+def test_no_more_keys_move_than_the_limit(now, target, limit):
+    now, target = wanted_weights(now), wanted_weights(target)
+    moved = moved_toward(now, target, limit)
     assert sum(moved.values()) == pytest.approx(1.0)
     change = sum(abs(moved.get(name, 0) - now.get(name, 0)) for name in {*now, *moved})
-    assert change / 2 <= most + 1e-9
+    assert change / 2 <= limit + 1e-9
 
 
-def test_added_servers_get_their_part_within_the_limit_on_moving():
-    # Servers are added in one region. Keys move there, as many in two seconds as users
-    # allow at most, and then the weights stand where they should.
-    weights, goal = wanted_weights(SLOTS), wanted_weights({**SLOTS, "kentriki": 126.0})
+def test_added_servers_get_their_share_within_the_limit_on_moves():
+    # Servers are added in one region. Keys move there, in two seconds no more than the
+    # limit allows, until the weights reach their target.
+    weights, goal = (
+        wanted_weights(SLOTS),
+        wanted_weights({**SLOTS, "kentriki": 126.0}),
+    )
     before = spread(weights)
     for _ in range(8):
         weights = moved_toward(weights, goal, 0.03 * 0.25)
@@ -94,19 +98,19 @@
         "enough everywhere",
         "half of what is needed",
         "more than needed",
-        "the rest goes where most is left",
+        "the rest goes where most slots are free",
         "no servers at home",
         "one region",
         "no servers",
     ],
 )
-def test_keys_stay_near_as_far_as_the_slots_go(slots, home, weights):
+def test_keys_stay_in_their_region_as_far_as_its_slots_allow(slots, home, weights):
     assert near_weights(slots, home, 3) == pytest.approx(weights)
 
 
-def test_keys_kept_near_fill_no_region_beyond_its_part():
-    # A region with few servers sends its rest to the others. Sent by their size alone,
-    # it would fill one beyond its slots while another has slots left.
+def test_local_keys_fill_no_region_beyond_its_share():
+    # A region with few servers sends its excess to the others. If they got it by size
+    # alone, one would be filled beyond its slots while another has free ones.
     slots = {"a": 8.0, "b": 48.0, "c": 56.0}
     filled = dict.fromkeys(slots, 0.0)
     for home in slots:
@@ -117,7 +121,7 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "goal", "round_trip", "near"),
+    ("kind", "goal", "round_trip", "local"),
     [
         (RequestKind.DOWNLOAD, 0.4, 0.0, True),
         (RequestKind.SAFE, 0.15, 0.04, True),
@@ -126,7 +130,9 @@
         (RequestKind.SAFE, 0.15, 0.0, False),
     ],
 )
-def test_large_answers_and_short_goals_stay_near(kind, goal, round_trip, near):
+def test_large_answers_and_short_goals_stay_in_their_region(
+    kind, goal, round_trip, local
+):
     route = Route(
         name="r",
         prefix="/",
@@ -134,4 +140,4 @@
         kind=kind,
         goal_seconds=goal,
     )
-    assert runs_near(route, round_trip) == near
+    assert runs_near(route, round_trip) == local
--- a/packages/core/tests/test_placing_spilling.py
+++ b/packages/core/tests/test_placing_spilling.py
@@ -38,19 +38,19 @@
         row.take_report(4, waiting, NOW)
 
 
-def chosen(table, *, may_wait=False, may_spill=True, away=0.04):
+def chosen(table, *, may_wait=False, may_spill=True, round_trip=0.04):
     wanted = Wanted(SERVICE, ["home"], "k", 0.4, 2.5)
     permissions = Permissions(lambda _: True, lambda: may_wait, lambda: False)
-    place = choose_with_spill(
+    result = choose_with_spill(
         table,
         RankCache(),
         wanted,
-        [Elsewhere("far", away)],
+        [Elsewhere("far", round_trip)],
         permissions,
         lambda _: may_spill,
         NOW,
     )
-    return place if isinstance(place, NoPlace) else place.region
+    return result if isinstance(result, NoPlace) else result.region
 
 
 @pytest.mark.parametrize(
@@ -62,7 +62,7 @@
         (("home", "far"), True, True, "home"),
         (("home",), True, False, "home"),
     ],
-    ids=["room", "full", "in time goes before late", "all full", "not allowed"],
+    ids=["free", "full", "in time before late", "all full", "not allowed"],
 )
 def test_a_request_leaves_its_region_only_to_be_in_time(
     full, may_wait, may_spill, expected
@@ -73,21 +73,21 @@
     assert chosen(table, may_wait=may_wait, may_spill=may_spill) == expected
 
 
-def test_a_request_that_no_region_can_serve_is_refused_for_its_own_region():
+def test_a_rejection_describes_the_own_region():
     table = table_of(home=2, far=3)
     fill(table, "home")
     fill(table, "far")
     assert chosen(table).servers == 2
 
 
-def test_the_way_to_a_region_counts_as_a_wait():
-    # The queue there is as long as callers next to it may wait. With the way there and
-    # back on top, the answer would come after its goal.
+def test_the_round_trip_to_a_region_counts_as_a_wait():
+    # The queue there is as long as callers of that region may wait. With the round trip
+    # added, the answer would miss its goal.
     table = table_of(home=1, far=1)
     fill(table, "home")
     fill(table, "far", waiting=1)
-    assert chosen(table, away=0.0) == "far"
-    assert isinstance(chosen(table, away=0.15), NoPlace)
+    assert chosen(table, round_trip=0.0) == "far"
+    assert isinstance(chosen(table, round_trip=0.15), NoPlace)
 
 
 @pytest.mark.parametrize(
@@ -104,14 +104,16 @@
         (1.0, None, 0.0),
     ],
 )
-def test_no_more_keys_leave_than_room_was_lost_and_is_free_elsewhere(lost, busy, share):
-    # Servers remember few keys. Keys that leave a region which is only busy crowd out
-    # those of the other one, both run cold, and both regions are full for good.
+def test_no_more_keys_leave_than_capacity_was_lost_and_is_free_elsewhere(
+    lost, busy, share
+):
+    # Servers cache few keys. Keys that leave a region that is only busy evict those of
+    # the other one. Both then run cold, and both regions stay full.
     taken = sum(may_leave(f"k{number}", lost, busy) for number in range(2_000))
     assert taken / 2_000 == pytest.approx(share, abs=0.04)
 
 
-def test_a_busier_region_keeps_some_of_the_keys_that_it_took():
+def test_a_busier_region_keeps_some_of_the_keys_it_accepted():
     keys = [f"k{number}" for number in range(200)]
     first = {key for key in keys if may_leave(key, 1.0, 0.65)}
     later = {key for key in keys if may_leave(key, 1.0, 0.85)}
@@ -119,11 +121,11 @@
 
 
 @pytest.mark.parametrize("how", ["left", "suspected", "cold"])
-def test_a_region_that_lost_a_server_has_lost_room(how):
+def test_a_region_that_lost_a_server_has_lost_capacity(how):
     table = table_of(home=4)
-    watch = RoomWatch()
-    watch.tick(table, NOW)
-    assert watch.lost_share(SERVICE, "home") == 0.0
+    tracker = RoomWatch()
+    tracker.tick(table, NOW)
+    assert tracker.lost_share(SERVICE, "home") == 0.0
     row = table.servers["home-0"]
     if how == "left":
         table.leaving.add(table.servers["home-0"].incarnation)
@@ -132,49 +134,49 @@
         row.suspect_until = NOW + 9
     else:
         row.cold_until = NOW + 9
-    watch.tick(table, NOW)
-    assert watch.lost_share(SERVICE, "home") == 0.25
+    tracker.tick(table, NOW)
+    assert tracker.lost_share(SERVICE, "home") == 0.25
 
 
-def test_a_region_that_lost_all_its_servers_has_lost_all_room():
+def test_a_region_that_lost_all_servers_has_lost_all_capacity():
     table = table_of(home=1)
-    watch = RoomWatch()
-    watch.tick(table, NOW)
+    tracker = RoomWatch()
+    tracker.tick(table, NOW)
     table.leaving.add(table.servers["home-0"].incarnation)
     table.rebuild()
-    watch.tick(table, NOW)
-    assert watch.lost_share(SERVICE, "home") == 1.0
+    tracker.tick(table, NOW)
+    assert tracker.lost_share(SERVICE, "home") == 1.0
 
 
-def test_a_loss_is_forgotten_little_by_little():
-    # Half of a region's servers have left for good. Keys that run elsewhere since come
-    # back as the loss is forgotten; all at once they would change their region within
-    # one span of 2 s, and run cold at home at the same time.
+def test_a_loss_decays_gradually():
+    # Half of a region's servers have left permanently. Keys that spilled return as the
+    # loss decays; if all returned at once, they would change their region within one
+    # interval of 2 s and run cold in their own region at the same time.
     table = table_of(home=4)
-    watch = RoomWatch()
-    watch.tick(table, NOW)
+    tracker = RoomWatch()
+    tracker.tick(table, NOW)
     table.leaving |= {table.servers[f"home-{n}"].incarnation for n in range(2)}
     table.rebuild()
     shares = []
     for second in range(100):
-        watch.tick(table, NOW + second)
-        shares.append(watch.lost_share(SERVICE, "home"))
+        tracker.tick(table, NOW + second)
+        shares.append(tracker.lost_share(SERVICE, "home"))
     assert shares[0] == 0.5
     assert shares[99] == 0.0
     pairs = zip(shares, shares[2:], strict=False)
     assert max(before - after for before, after in pairs) < 0.03
 
 
-def test_a_busy_region_has_lost_no_room():
+def test_a_busy_region_has_lost_no_capacity():
     table = table_of(home=4)
-    watch = RoomWatch()
-    watch.tick(table, NOW)
+    tracker = RoomWatch()
+    tracker.tick(table, NOW)
     fill(table, "home")
-    watch.tick(table, NOW + 1)
-    assert watch.lost_share(SERVICE, "home") == 0.0
+    tracker.tick(table, NOW + 1)
+    assert tracker.lost_share(SERVICE, "home") == 0.0
 
 
-def test_a_host_measures_its_own_region_and_believes_others_of_theirs():
+def test_a_host_measures_its_own_region_and_merges_loads_of_others():
     table = table_of(home=2, far=2)
     table.servers["home-0"].take_report(4, 9, NOW)
     loads = RegionLoads("home")
@@ -187,7 +189,7 @@
     assert loads.busy(SERVICE, "unknown", NOW) is None
 
 
-def test_older_news_of_a_load_does_not_win():
+def test_an_older_load_does_not_replace_a_newer_one():
     loads = RegionLoads("home")
     loads.take([RegionLoad("far", SERVICE, 0.7, 0.5)], NOW)
     loads.take([RegionLoad("far", SERVICE, 0.1, 1.5)], NOW)
--- a/packages/core/tests/test_placing_typical_load.py
+++ b/packages/core/tests/test_placing_typical_load.py
@@ -1,4 +1,4 @@
-"""The estimate of load that a host has not been told of."""
+"""The estimated load of servers without a recent report."""
 
 import pytest
 
@@ -30,24 +30,24 @@
         "alone",
     ],
 )
-def test_own_requests_say_more_where_few_hosts_send(own, senders, least, most):
-    # Servers of 9 slots are half busy. One request of this host must not make a server
-    # look as if 65 hosts had one there, which would send the next one to run cold.
+def test_own_requests_count_more_if_few_hosts_send(own, senders, least, most):
+    # Servers with 9 slots are half busy. One request of this host must not make a
+    # server look as if 65 hosts had one there, or the next request would run cold.
     load = typical(*[0.5] * 20)
     assert least <= load.estimate_others(own, 9, senders) <= most
 
 
-def test_before_any_report_others_do_as_this_host():
+def test_peers_are_assumed_equal_before_any_report():
     assert TypicalLoad().estimate_others(2, 9, 4) == 6
 
 
-def test_idle_servers_are_known_to_be_idle():
+def test_idle_servers_are_estimated_to_be_idle():
     assert typical(*[0.0] * 5).estimate_others(0, 9, 65) == 0
 
 
 def test_long_queues_do_not_make_unknown_servers_look_full():
-    # Most requests meet the few servers with queues. Were unknown servers taken to have
-    # such queues, callers would be refused beside free slots.
+    # Most requests meet the few servers with queues. If unknown servers were assumed to
+    # have such queues, callers would be rejected while slots are free.
     server = Server("i-1", "booking", "", "zone-a", "north", 9, senders=65)
     server.typical = typical(*[3.0] * 20)
     assert server.expected_wait(0.0) <= server.service_seconds / server.slots
@@ -58,8 +58,9 @@
     assert load.busy == pytest.approx(0.9, abs=0.15)
 
 
-def test_a_server_that_is_hardly_known_takes_twice_as_long_as_others():
-    # Runs take 1.1 s. Taken for 0.3 s, a queue of 18 looks like 0.6 s and takes 2.2 s.
+def test_a_server_with_few_measurements_counts_as_twice_as_slow():
+    # Runs take 1.1 s. If a run is estimated at 0.3 s, a queue of 18 looks like 0.6 s
+    # but takes 2.2 s.
     server = Server("i-1", "booking", "", "zone-a", "north", 9, senders=65)
     for _ in range(50):
         server.typical.record_run(1.1)
@@ -70,8 +71,8 @@
 
 
 def test_cold_runs_do_not_make_servers_look_slow():
-    # In an overload half of the runs are cold. Were queues taken for longer by these,
-    # keys would leave the servers that are warm for them, and more runs be cold.
+    # In an overload half of the runs are cold. If these made queues look longer, keys
+    # would leave the servers that are warm for them, and more runs would be cold.
     load = TypicalLoad()
     for _ in range(200):
         load.record_run(0.2)
--- a/packages/core/tests/test_placing_warm_keys.py
+++ b/packages/core/tests/test_placing_warm_keys.py
@@ -24,9 +24,9 @@
     assert warm.servers("k", age) == expected
 
 
-def test_what_did_not_run_is_not_warm():
-    # The server shed the request. Taken for warm, it would get the key's next callers,
-    # each of whom would wait for a cold run there.
+def test_a_server_that_did_not_run_a_key_is_not_warm():
+    # The server shed the request. If it counted as warm, it would receive the key's
+    # next callers, and each of them would wait for a cold run.
     warm = WarmKeys()
     warm.note("k", FIRST, 0.0)
     warm.forget("k", FIRST)
@@ -34,7 +34,7 @@
     assert warm.servers("k", 0.0) == ()
 
 
-def test_the_keys_unused_for_longest_are_forgotten_beyond_the_bound():
+def test_the_least_recently_used_keys_are_dropped_beyond_the_limit():
     warm = WarmKeys()
     for number in range(KEYS_MAX):
         warm.note(f"k{number}", FIRST, 0.0)
