--- a/packages/core/greengagepoint/placing/allowance.py
+++ b/packages/core/greengagepoint/placing/allowance.py
@@ -41,11 +41,11 @@
         return True
 
 
-def create_waiting() -> Allowance:
+def create_wait_allowance() -> Allowance:
     """Return the allowance for answers after the latency goal."""
     return Allowance(WAIT_RATIO, WAIT_TOKENS_MAX, WAIT_TOKENS_MAX)
 
 
-def create_moving() -> Allowance:
+def create_move_allowance() -> Allowance:
     """Return the allowance for keys that move to their first-ranked server."""
     return Allowance(MOVE_RATIO, MOVE_TOKENS_MAX, 0.0)
--- a/packages/core/greengagepoint/placing/busy_servers.py
+++ b/packages/core/greengagepoint/placing/busy_servers.py
@@ -68,7 +68,7 @@
             self.reports[row.instance, row.born] = (row.held, at)
             server.apply_peer_report(row.held, at)
 
-    def shared(self, now: float) -> list[BusyServer]:
+    def recent_reports(self, now: float) -> list[BusyServer]:
         """Return the reports to share with peers, newest first, and drop old ones."""
         oldest = now - AGE_MAX_SECONDS
         recent = {run: row for run, row in self.reports.items() if row[1] >= oldest}
--- a/packages/core/greengagepoint/placing/choice.py
+++ b/packages/core/greengagepoint/placing/choice.py
@@ -26,7 +26,7 @@
 RETRY_SECONDS_MIN: Final = 0.3
 
 
-class Wanted(NamedTuple):
+class ServerCriteria(NamedTuple):
     """Hold the criteria for choosing a server.
 
     ``regions`` lists the regions to use in order of preference, and
@@ -45,7 +45,7 @@
     round_trip_seconds: float = 0.0
 
 
-class NoPlace(NamedTuple):
+class NoServerAvailable(NamedTuple):
     """Report that no server can take a request; retry in ``retry_seconds``.
 
     The other fields explain the decision: the shortest expected wait, the longest wait
@@ -77,10 +77,10 @@
 def choose(
     table: ServerTable,
     ranks: RankCache,
-    criteria: Wanted,
+    criteria: ServerCriteria,
     permissions: Permissions,
     now: float,
-) -> Server | NoPlace:
+) -> Server | NoServerAvailable:
     """Return the server for a request, or the reason why there is none.
 
     Many hosts send to the same servers without coordinating each request. Each host
@@ -94,7 +94,7 @@
         if server.incarnation not in criteria.tried
     ]
     if not servers:
-        return NoPlace(retry_seconds=1.0, servers_known=False)
+        return NoServerAvailable(retry_seconds=1.0, servers_known=False)
     ranked = _rank_servers(table, ranks, criteria, servers, now)
     warm = _warm_servers(ranked, servers, criteria, now)
     max_wait = max(
@@ -114,7 +114,7 @@
         return best
     least_loaded = min(servers, key=lambda row: row.expected_wait(now))
     shortest = least_loaded.expected_wait(now)
-    return NoPlace(
+    return NoServerAvailable(
         retry_seconds=max(RETRY_SECONDS_MIN, shortest - max_wait),
         servers_known=True,
         shortest_wait=shortest,
@@ -127,7 +127,7 @@
 def _rank_servers(
     table: ServerTable,
     ranks: RankCache,
-    criteria: Wanted,
+    criteria: ServerCriteria,
     servers: Sequence[Server],
     now: float,
 ) -> Sequence[Server]:
@@ -143,7 +143,10 @@
 
 
 def _warm_servers(
-    ranked: Sequence[Server], servers: Sequence[Server], criteria: Wanted, now: float
+    ranked: Sequence[Server],
+    servers: Sequence[Server],
+    criteria: ServerCriteria,
+    now: float,
 ) -> Sequence[Server]:
     """Return the servers assumed to be warm for the key, in rank order.
 
@@ -204,7 +207,7 @@
 
 
 def _can_wait_past_goal(
-    server: Server, criteria: Wanted, permissions: Permissions, now: float
+    server: Server, criteria: ServerCriteria, permissions: Permissions, now: float
 ) -> bool:
     """Return True if a caller may wait for an answer after its latency goal."""
     max_wait = criteria.seconds_left * MAX_WAIT_DEADLINE_SHARE
--- a/packages/core/greengagepoint/placing/region_loads.py
+++ b/packages/core/greengagepoint/placing/region_loads.py
@@ -54,7 +54,7 @@
             if load.region != self.home and newer:
                 self.loads[load.service, load.region] = (load.busy, measured_at)
 
-    def known(self, now: float) -> list[RegionLoad]:
+    def recent_loads(self, now: float) -> list[RegionLoad]:
         """Return the loads to share with peers, without expired ones."""
         return [
             RegionLoad(region, service, round(busy, 2), round(now - at, 2))
--- a/packages/core/greengagepoint/placing/regions.py
+++ b/packages/core/greengagepoint/placing/regions.py
@@ -29,7 +29,7 @@
 Weights = dict[str, float]
 
 
-def runs_near(route: Route, round_trip_seconds: float) -> bool:
+def should_run_locally(route: Route, round_trip_seconds: float) -> bool:
     """Return True if a route's keys should stay in the region of their callers.
 
     ``round_trip_seconds`` is the round-trip time to the farthest region.
@@ -39,20 +39,20 @@
     return round_trip_seconds > ROUND_TRIP_GOAL_SHARE * route.goal_seconds
 
 
-def wanted_weights(slots: Mapping[str, float]) -> Weights:
+def weights_by_slots(slots: Mapping[str, float]) -> Weights:
     """Return each region's share of the keys, by its slots; the shares add up to 1."""
     total = sum(count for count in slots.values() if count > 0)
     return {region: count / total for region, count in slots.items() if count > 0}
 
 
-def near_weights(slots: Mapping[str, float], home: str, regions: int) -> Weights:
+def local_weights(slots: Mapping[str, float], home: str, regions: int) -> Weights:
     """Return each region's share of the keys requested by callers in ``home``.
 
     The calculation assumes that all ``regions`` have equally many callers. The home
     region keeps as many of its keys as its share of the slots allows. The rest goes to
     regions that have slots to spare under the same assumption.
     """
-    shares = wanted_weights(slots)
+    shares = weights_by_slots(slots)
     equal = 1 / max(1, regions)
     kept = min(1.0, shares.get(home, 0.0) / equal)
     spare = {
@@ -60,12 +60,12 @@
     }
     if not any(spare.values()):
         return {home: 1.0} if kept else shares
-    others = wanted_weights(spare)
+    others = weights_by_slots(spare)
     weights = {name: (1 - kept) * part for name, part in others.items()}
-    return wanted_weights({**weights, home: kept})
+    return weights_by_slots({**weights, home: kept})
 
 
-def moved_toward(now: Weights, target: Weights, max_change: float) -> Weights:
+def step_toward(now: Weights, target: Weights, max_change: float) -> Weights:
     """Move weights toward ``target``, changing the region of at most ``max_change``.
 
     ``max_change`` is a share of all keys.
@@ -75,7 +75,7 @@
     moved = sum(part for part in change.values() if part > 0)
     scale = 1.0 if moved <= max_change else max_change / moved
     parts = {name: now.get(name, 0.0) + scale * change[name] for name in names}
-    return wanted_weights(parts)
+    return weights_by_slots(parts)
 
 
 def region_for_key(key: str, weights: Weights) -> str | None:
--- a/packages/core/greengagepoint/placing/room.py
+++ b/packages/core/greengagepoint/placing/room.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class RoomWatch:
+class LostCapacityTracker:
     """Track the capacity of each service and region; times are monotonic seconds."""
 
     capacities: dict[tuple[str, str], RegionCapacity] = field(default_factory=dict)
--- a/packages/core/greengagepoint/placing/server_silence.py
+++ b/packages/core/greengagepoint/placing/server_silence.py
@@ -45,7 +45,7 @@
     recent: float = 0.0
     answered_at: float = 0.0
 
-    def take(self, seconds: float, now: float) -> None:
+    def record_time(self, seconds: float, now: float) -> None:
         """Record the time that an answer took."""
         if not self.recent:
             self.mean = seconds
@@ -65,7 +65,7 @@
         return self.recent * math.exp(-(now - self.answered_at) / RATE_SECONDS)
 
 
-def silent_after(
+def silence_timeout(
     seconds_left: float,
     service_seconds: float,
     answers: AnswerTimes,
@@ -81,7 +81,7 @@
     return max(by_share, min(by_gap, SILENCE_LONGEST * answers.longest))
 
 
-def may_still_end(seconds_left: float, answers: AnswerTimes) -> bool:
+def can_answer_in_time(seconds_left: float, answers: AnswerTimes) -> bool:
     """Return True if another server would probably answer before the deadline.
 
     If it would not, abandoning the request wastes the first server's answer.
--- a/packages/core/greengagepoint/placing/spilling.py
+++ b/packages/core/greengagepoint/placing/spilling.py
@@ -8,7 +8,12 @@
 from collections.abc import Callable, Sequence
 from typing import Final, NamedTuple
 
-from greengagepoint.placing.choice import NoPlace, Permissions, Wanted, choose
+from greengagepoint.placing.choice import (
+    NoServerAvailable,
+    Permissions,
+    ServerCriteria,
+    choose,
+)
 from greengagepoint.placing.ranking import RankCache, unit_hash
 from greengagepoint.placing.tables import Server, ServerTable
 
@@ -20,7 +25,7 @@
 BUSY_CLOSED: Final = 0.95
 
 
-def may_leave(key: str, lost: float, busy: float | None) -> bool:
+def can_spill_key(key: str, lost: float, busy: float | None) -> bool:
     """Return True if a key without a server in its region may run in another one.
 
     ``lost`` is the share of slots that the key's own region lost recently. No larger
@@ -35,7 +40,7 @@
     return unit_hash(f"spill\0{key}") < min(lost, free_share)
 
 
-class Elsewhere(NamedTuple):
+class RemoteRegion(NamedTuple):
     """Name another region that may run a request, and the round-trip time to it."""
 
     region: str
@@ -45,12 +50,12 @@
 def choose_with_spill(
     table: ServerTable,
     ranks: RankCache,
-    criteria: Wanted,
-    remote_regions: Sequence[Elsewhere],
+    criteria: ServerCriteria,
+    remote_regions: Sequence[RemoteRegion],
     permissions: Permissions,
     may_spill: Callable[[Server], bool],
     now: float,
-) -> Server | NoPlace:
+) -> Server | NoServerAvailable:
     """Return the server for a request, or why there is none in its key's region.
 
     ``remote_regions`` are the other regions that may run it, best first. An answer in
--- a/packages/core/greengagepoint/placing/suspicion.py
+++ b/packages/core/greengagepoint/placing/suspicion.py
@@ -18,14 +18,14 @@
 PROBE_SECONDS: Final = 1.0
 
 
-def note_failure(server: Server, now: float) -> None:
+def record_failure(server: Server, now: float) -> None:
     """Suspect a server after a refused connection, a reset or silence."""
     server.failures += 1
     pause = min(PAUSE_MAX_SECONDS, PAUSE_SECONDS * 2 ** (server.failures - 1))
     server.suspect_until = now + pause
 
 
-def begin_trial(server: Server, now: float) -> None:
+def begin_probe(server: Server, now: float) -> None:
     """Suspect a failed server for longer while one request probes it.
 
     A silent server is noticed only after a timeout. Without the probe, all requests of
@@ -35,7 +35,7 @@
         server.suspect_until = max(server.suspect_until, now + PROBE_SECONDS)
 
 
-def note_answer(server: Server, now: float) -> None:
+def record_answer(server: Server, now: float) -> None:
     """Clear the suspicion of a server that has answered."""
     server.answered_at = now
     server.failures = 0
--- a/packages/core/greengagepoint/placing/tables.py
+++ b/packages/core/greengagepoint/placing/tables.py
@@ -11,7 +11,7 @@
 # at a fixed age, all hosts would send a burst once the report of a full queue expired.
 REPORT_DECAY_SECONDS: Final = 1.0
 # Servers shed load once two to three requests wait for each slot.
-SHEDDING_QUEUE: Final = 2
+SHEDDING_QUEUE_PER_SLOT: Final = 2
 SERVICE_SECONDS_WEIGHT: Final = 0.05
 
 
@@ -34,7 +34,7 @@
 
     Times are monotonic seconds. A newer incarnation gets a new row; requests that are
     still in flight at the older one are counted in its own row, which is no longer in
-    any table. ``others`` is the number of requests from other hosts in the
+    any table. ``others_in_flight`` is the number of requests from other hosts in the
     last load report, received at ``reported_at``. ``typical`` is shared by the members
     of a service in a region. ``initial_weight`` is the weight that the initial value
     still has in the moving average ``service_seconds``.
@@ -48,7 +48,7 @@
     slots: int
     cold_until: float = 0.0
     in_flight: int = 0
-    others: int = 0
+    others_in_flight: int = 0
     reported_at: float = float("-inf")
     senders: int = 1
     suspect_until: float = 0.0
@@ -85,29 +85,31 @@
         estimated = self.typical.estimate_others(
             self.in_flight, self.slots, self.senders
         )
-        return self.in_flight + weight * self.others + (1 - weight) * estimated
+        return (
+            self.in_flight + weight * self.others_in_flight + (1 - weight) * estimated
+        )
 
     def expected_wait(self, now: float) -> float:
         """Return how many seconds a new request is expected to wait for a slot."""
         ahead = self.occupancy(now) + 1 - self.slots
         return max(0.0, ahead) * self.run_seconds / self.slots
 
-    def take_report(self, running: int, waiting: int, now: float) -> None:
+    def apply_report(self, running: int, waiting: int, now: float) -> None:
         """Apply a load report that this host received from the server."""
-        self.others = max(0, running + waiting - self.in_flight)
+        self.others_in_flight = max(0, running + waiting - self.in_flight)
         self.reported_at = now
         self.typical.record_load((running + waiting) / self.slots)
 
     def apply_peer_report(self, held: int, at: float) -> None:
         """Apply a load report that a peer received from the server at time ``at``."""
-        self.others = max(0, held - self.in_flight)
+        self.others_in_flight = max(0, held - self.in_flight)
         self.reported_at = at
 
-    def take_shedding(self, now: float) -> None:
+    def apply_shedding(self, now: float) -> None:
         """Assume a full queue after the server shed a request without a load report."""
-        self.take_report(self.slots, SHEDDING_QUEUE * self.slots, now)
+        self.apply_report(self.slots, SHEDDING_QUEUE_PER_SLOT * self.slots, now)
 
-    def take_service_time(self, seconds: float) -> None:
+    def record_service_time(self, seconds: float) -> None:
         """Record the run time of a request, excluding its wait for a slot."""
         difference = seconds - self.service_seconds
         self.service_seconds += SERVICE_SECONDS_WEIGHT * difference
@@ -149,7 +151,7 @@
         """Return the regions in which a service has members, sorted by name."""
         return self.regions.get(service, ())
 
-    def holds(self, server: Server) -> bool:
+    def is_newest(self, server: Server) -> bool:
         """Return True if a server is the newest incarnation of its id."""
         return self.servers.get(server.instance) is server
 
@@ -177,7 +179,7 @@
 
     def is_member(self, server: Server) -> bool:
         """Return True if a server may receive requests now."""
-        return self.holds(server) and self._is_eligible(server)
+        return self.is_newest(server) and self._is_eligible(server)
 
     def _is_eligible(self, server: Server) -> bool:
         """Return True if a server's service, state and zone let it receive requests."""
--- a/packages/core/tests/placing_fleet.py
+++ b/packages/core/tests/placing_fleet.py
@@ -7,12 +7,24 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from greengagepoint.placing.allowance import create_moving, create_waiting
+from greengagepoint.placing.allowance import (
+    create_move_allowance,
+    create_wait_allowance,
+)
 from greengagepoint.placing.busy_servers import BusyServer, BusyServers
-from greengagepoint.placing.choice import NoPlace, Permissions, Wanted, choose
+from greengagepoint.placing.choice import (
+    NoServerAvailable,
+    Permissions,
+    ServerCriteria,
+    choose,
+)
 from greengagepoint.placing.ranking import RankCache
 from greengagepoint.placing.region_loads import RegionLoad, RegionLoads
-from greengagepoint.placing.spilling import Elsewhere, choose_with_spill, may_leave
+from greengagepoint.placing.spilling import (
+    RemoteRegion,
+    can_spill_key,
+    choose_with_spill,
+)
 from greengagepoint.placing.tables import Server, ServerTable
 from greengagepoint.placing.warm_keys import WarmKeys
 
@@ -38,7 +50,7 @@
 
 DEFAULT_WORKLOAD = Workload()
 
-Policy = Callable[["Host", str, float, random.Random], Server | NoPlace]
+Policy = Callable[["Host", str, float, random.Random], Server | NoServerAvailable]
 
 
 @dataclass
@@ -82,8 +94,8 @@
             )
         self.table.rebuild()
         self.ranks = RankCache()
-        self.waiting = create_waiting()
-        self.moving = create_moving()
+        self.waiting = create_wait_allowance()
+        self.moving = create_move_allowance()
         self.warm_keys = WarmKeys()
         self.loads = RegionLoads(REGION)
         self.busy_servers = BusyServers()
@@ -106,11 +118,13 @@
 
 def choose_by_key(
     host: Host, key: str, now: float, _: random.Random
-) -> Server | NoPlace:
+) -> Server | NoServerAvailable:
     """Choose as a host does within one region."""
     warm = host.warm_keys.servers(key, now)
     load = host.workload
-    criteria = Wanted(SERVICE, [REGION], key, load.goal, load.deadline, warm=warm)
+    criteria = ServerCriteria(
+        SERVICE, [REGION], key, load.goal, load.deadline, warm=warm
+    )
     host.waiting.deposit()
     host.moving.deposit()
     permissions = Permissions(
@@ -124,18 +138,22 @@
 
 def choose_with_spilling(
     host: Host, key: str, now: float, _: random.Random
-) -> Server | NoPlace:
+) -> Server | NoServerAvailable:
     """Choose as a host does if another region may run the key too."""
     warm = host.warm_keys.servers(key, now)
     load = host.workload
-    criteria = Wanted(SERVICE, [REGION], key, load.goal, load.deadline, warm=warm)
+    criteria = ServerCriteria(
+        SERVICE, [REGION], key, load.goal, load.deadline, warm=warm
+    )
     host.waiting.deposit()
     permissions = Permissions(lambda _: True, host.waiting.withdraw, lambda: False)
 
     def may_spill(server: Server) -> bool:
-        return may_leave(key, host.lost, host.loads.busy(SERVICE, server.region, now))
+        return can_spill_key(
+            key, host.lost, host.loads.busy(SERVICE, server.region, now)
+        )
 
-    remote_regions = [Elsewhere(REMOTE_REGION, REMOTE_ROUND_TRIP_SECONDS)]
+    remote_regions = [RemoteRegion(REMOTE_REGION, REMOTE_ROUND_TRIP_SECONDS)]
     chosen = choose_with_spill(
         host.table, host.ranks, criteria, remote_regions, permissions, may_spill, now
     )
@@ -245,7 +263,7 @@
                 busy = RegionLoad(REMOTE_REGION, SERVICE, held / (slots * remote), 0.0)
                 host.loads.take([busy], now)
             server = policy(host, call[1], now, rng)
-            if isinstance(server, NoPlace):
+            if isinstance(server, NoServerAvailable):
                 count("rejected", call)
                 continue
             index = int(server.instance[2:])
@@ -257,7 +275,7 @@
                 server.in_flight += 1
                 machine.queue.append(call)
             else:
-                server.take_report(slots, QUEUE_LIMIT, now)
+                server.apply_report(slots, QUEUE_LIMIT, now)
                 share_load(machine, index, now)
                 count("shed", call)
             continue
@@ -265,12 +283,12 @@
         machine.busy -= 1
         server = host.table.servers[f"i-{index}"]
         server.in_flight -= 1
-        server.take_report(
+        server.apply_report(
             slots - machine.slots + machine.busy, len(machine.queue), now
         )
         share_load(machine, index, now)
         if not machine.queue:
-            server.take_service_time(now - call[2])
+            server.record_service_time(now - call[2])
         count("in_time" if now - call[2] <= workload.goal else "late", call)
         if machine.queue:
             start(machine, index, machine.queue.pop(0), now)
--- a/packages/core/tests/test_placing_choice.py
+++ b/packages/core/tests/test_placing_choice.py
@@ -1,7 +1,12 @@
 import pytest
 
 from greengagepoint.placing import suspicion
-from greengagepoint.placing.choice import NoPlace, Permissions, Wanted, choose
+from greengagepoint.placing.choice import (
+    NoServerAvailable,
+    Permissions,
+    ServerCriteria,
+    choose,
+)
 from greengagepoint.placing.ranking import RankCache
 from greengagepoint.placing.tables import Server, ServerTable
 
@@ -33,10 +38,10 @@
 ):
     tried = frozenset(table.servers[name].incarnation for name in tried)
     warm = tuple(table.servers[name].incarnation for name in warm)
-    wanted = Wanted("booking", regions, key, 0.4, 2.5, tried, warm)
+    wanted = ServerCriteria("booking", regions, key, 0.4, 2.5, tried, warm)
     permissions = Permissions(lambda row: may_send, lambda: may_wait, lambda: may_move)
     found = choose(table, RankCache(), wanted, permissions, NOW)
-    return found if isinstance(found, NoPlace) else found.instance
+    return found if isinstance(found, NoServerAvailable) else found.instance
 
 
 def ranked(table):
@@ -49,7 +54,7 @@
 
 
 def apply_load(table, instance, running, waiting=0):
-    table.servers[instance].take_report(running, waiting, NOW)
+    table.servers[instance].apply_report(running, waiting, NOW)
 
 
 def test_a_key_goes_to_the_same_server_from_every_host():
@@ -86,7 +91,7 @@
     apply_load(table, order[1], *second)
     result = chosen(table)
     assert result == (order[expected] if expected is not None else result)
-    assert isinstance(result, NoPlace) == (expected is None)
+    assert isinstance(result, NoServerAvailable) == (expected is None)
 
 
 @pytest.mark.parametrize(
@@ -128,7 +133,7 @@
     order = ranked(table)
     for instance in order:
         if obstacle == "suspected":
-            suspicion.note_failure(table.servers[instance], NOW)
+            suspicion.record_failure(table.servers[instance], NOW)
         if obstacle == "just started":
             table.servers[instance].cold_until = NOW + 3
     tried = order if obstacle == "tried" else ()
@@ -157,7 +162,7 @@
 
 
 def test_no_server_is_chosen_if_there_is_none():
-    assert chosen(table_of()) == NoPlace(1.0, servers_known=False)
+    assert chosen(table_of()) == NoServerAvailable(1.0, servers_known=False)
 
 
 @pytest.mark.parametrize("how", ["leaving", "evacuated"])
@@ -174,9 +179,9 @@
 def test_a_failed_server_is_avoided_until_it_answers():
     table = four_servers()
     first, second = ranked(table)[:2]
-    suspicion.note_failure(table.servers[first], NOW)
+    suspicion.record_failure(table.servers[first], NOW)
     assert chosen(table) == second
-    suspicion.note_answer(table.servers[first], NOW)
+    suspicion.record_answer(table.servers[first], NOW)
     assert chosen(table) == first
 
 
@@ -184,13 +189,13 @@
     # A server is silent. Each time its pause ends, all requests of the next 0.6 s would
     # wait for it until their connections time out; one is enough to check it.
     row = server("i-1")
-    suspicion.note_failure(row, NOW)
+    suspicion.record_failure(row, NOW)
     after = NOW + suspicion.PAUSE_SECONDS
     assert row.suspect_until <= after
-    suspicion.begin_trial(row, after)
+    suspicion.begin_probe(row, after)
     assert row.suspect_until == after + suspicion.PROBE_SECONDS
-    suspicion.note_answer(row, after)
-    suspicion.begin_trial(row, after)
+    suspicion.record_answer(row, after)
+    suspicion.begin_probe(row, after)
     assert row.suspect_until == 0.0
 
 
@@ -198,7 +203,7 @@
     row = server("i-1")
     pauses = []
     for _ in range(6):
-        suspicion.note_failure(row, NOW)
+        suspicion.record_failure(row, NOW)
         pauses.append(row.suspect_until - NOW)
     assert pauses == [0.5, 1.0, 2.0, 4.0, 4.0, 4.0]
 
@@ -206,7 +211,7 @@
 def test_if_all_servers_are_suspected_one_is_still_chosen():
     table = four_servers()
     for row in table.servers.values():
-        suspicion.note_failure(row, NOW)
+        suspicion.record_failure(row, NOW)
     assert chosen(table) in table.servers
 
 
@@ -247,6 +252,6 @@
 def test_a_report_decays_to_the_typical_load(age, own, expected):
     # All 4 slots of the server are in use, one by each of 4 hosts.
     row = server("i-1", senders=4)
-    row.take_report(4, 4, NOW - age)
+    row.apply_report(4, 4, NOW - age)
     row.in_flight = own
     assert row.occupancy(NOW) == pytest.approx(expected, abs=0.01)
--- a/packages/core/tests/test_placing_load.py
+++ b/packages/core/tests/test_placing_load.py
@@ -11,7 +11,7 @@
     simulate,
 )
 
-from greengagepoint.placing.allowance import create_waiting
+from greengagepoint.placing.allowance import create_wait_allowance
 
 # 8 servers with 9 slots each run 500 requests per second if all runs are warm, 150 if
 # none is.
@@ -54,9 +54,9 @@
     # Servers are cold for two seconds after a start, and callers get late answers or
     # rejections meanwhile. Callers that may wait are served, but if all of them waited
     # in a lasting overload, no answer would be in time.
-    burst = create_waiting()
+    burst = create_wait_allowance()
     assert sum(burst.withdraw() for _ in range(50)) == 50
-    lasting = create_waiting()
+    lasting = create_wait_allowance()
     waited = 0
     for _ in range(2_000):
         lasting.deposit()
--- a/packages/core/tests/test_placing_regions.py
+++ b/packages/core/tests/test_placing_regions.py
@@ -3,11 +3,11 @@
 from hypothesis import strategies as st
 
 from greengagepoint.placing.regions import (
-    moved_toward,
-    near_weights,
+    local_weights,
     region_for_key,
-    runs_near,
-    wanted_weights,
+    should_run_locally,
+    step_toward,
+    weights_by_slots,
 )
 from greengagepoint.routing.tables import Destination, RequestKind, Route
 
@@ -25,7 +25,7 @@
 
 
 def test_keys_spread_over_the_regions_by_their_slots():
-    found = spread(wanted_weights(SLOTS))
+    found = spread(weights_by_slots(SLOTS))
     for region, slots in SLOTS.items():
         assert found[region] == pytest.approx(slots / 306, abs=0.025)
 
@@ -39,7 +39,7 @@
     ],
 )
 def test_a_region_without_servers_gets_no_keys(slots, weights):
-    assert wanted_weights(slots) == weights
+    assert weights_by_slots(slots) == weights
 
 
 def test_no_region_is_chosen_without_servers():
@@ -50,8 +50,8 @@
     # A region loses its servers to an evacuation or a crash. Its keys have to run in
     # other regions and run cold there; if other keys moved too, they would run cold
     # needlessly.
-    before = wanted_weights(SLOTS)
-    after = wanted_weights({**SLOTS, "kentriki": 0.0})
+    before = weights_by_slots(SLOTS)
+    after = weights_by_slots({**SLOTS, "kentriki": 0.0})
     for number in range(2_000):
         was = region_for_key(f"k{number}", before)
         assert was in ("kentriki", region_for_key(f"k{number}", after))
@@ -59,8 +59,8 @@
 
 @given(now=PARTS, target=PARTS, limit=st.floats(0.001, 0.2))
 def test_no_more_keys_move_than_the_limit(now, target, limit):
-    now, target = wanted_weights(now), wanted_weights(target)
-    moved = moved_toward(now, target, limit)
+    now, target = weights_by_slots(now), weights_by_slots(target)
+    moved = step_toward(now, target, limit)
     assert sum(moved.values()) == pytest.approx(1.0)
     change = sum(abs(moved.get(name, 0) - now.get(name, 0)) for name in {*now, *moved})
     assert change / 2 <= limit + 1e-9
@@ -70,16 +70,16 @@
     # Servers are added in one region. Keys move there, in two seconds no more than the
     # limit allows, until the weights reach their target.
     weights, goal = (
-        wanted_weights(SLOTS),
-        wanted_weights({**SLOTS, "kentriki": 126.0}),
+        weights_by_slots(SLOTS),
+        weights_by_slots({**SLOTS, "kentriki": 126.0}),
     )
     before = spread(weights)
     for _ in range(8):
-        weights = moved_toward(weights, goal, 0.03 * 0.25)
+        weights = step_toward(weights, goal, 0.03 * 0.25)
     after = spread(weights)
     assert after["kentriki"] - before["kentriki"] <= 0.15
     for _ in range(80):
-        weights = moved_toward(weights, goal, 0.03 * 0.25)
+        weights = step_toward(weights, goal, 0.03 * 0.25)
     assert weights == pytest.approx(goal)
 
 
@@ -105,7 +105,7 @@
     ],
 )
 def test_keys_stay_in_their_region_as_far_as_its_slots_allow(slots, home, weights):
-    assert near_weights(slots, home, 3) == pytest.approx(weights)
+    assert local_weights(slots, home, 3) == pytest.approx(weights)
 
 
 def test_local_keys_fill_no_region_beyond_its_share():
@@ -114,7 +114,7 @@
     slots = {"a": 8.0, "b": 48.0, "c": 56.0}
     filled = dict.fromkeys(slots, 0.0)
     for home in slots:
-        for region, part in near_weights(slots, home, 3).items():
+        for region, part in local_weights(slots, home, 3).items():
             filled[region] += part / 3
     for region, count in slots.items():
         assert filled[region] == pytest.approx(count / 112)
@@ -140,4 +140,4 @@
         kind=kind,
         goal_seconds=goal,
     )
-    assert runs_near(route, round_trip) == local
+    assert should_run_locally(route, round_trip) == local
--- a/packages/core/tests/test_placing_spilling.py
+++ b/packages/core/tests/test_placing_spilling.py
@@ -2,20 +2,20 @@
 
 import pytest
 
-from greengagepoint.placing.choice import NoPlace, Permissions, Wanted
+from greengagepoint.placing.choice import NoServerAvailable, Permissions, ServerCriteria
 from greengagepoint.placing.ranking import RankCache
 from greengagepoint.placing.region_loads import (
     AGE_MAX_SECONDS,
     RegionLoad,
     RegionLoads,
 )
-from greengagepoint.placing.room import RoomWatch
+from greengagepoint.placing.room import LostCapacityTracker
 from greengagepoint.placing.spilling import (
     BUSY_CLOSED,
     BUSY_OPEN,
-    Elsewhere,
+    RemoteRegion,
+    can_spill_key,
     choose_with_spill,
-    may_leave,
 )
 from greengagepoint.placing.tables import Server, ServerTable
 
@@ -35,22 +35,22 @@
 
 def fill(table, region, waiting=40):
     for row in table.find(SERVICE, region).servers:
-        row.take_report(4, waiting, NOW)
+        row.apply_report(4, waiting, NOW)
 
 
 def chosen(table, *, may_wait=False, may_spill=True, round_trip=0.04):
-    wanted = Wanted(SERVICE, ["home"], "k", 0.4, 2.5)
+    wanted = ServerCriteria(SERVICE, ["home"], "k", 0.4, 2.5)
     permissions = Permissions(lambda _: True, lambda: may_wait, lambda: False)
     result = choose_with_spill(
         table,
         RankCache(),
         wanted,
-        [Elsewhere("far", round_trip)],
+        [RemoteRegion("far", round_trip)],
         permissions,
         lambda _: may_spill,
         NOW,
     )
-    return result if isinstance(result, NoPlace) else result.region
+    return result if isinstance(result, NoServerAvailable) else result.region
 
 
 @pytest.mark.parametrize(
@@ -87,7 +87,7 @@
     fill(table, "home")
     fill(table, "far", waiting=1)
     assert chosen(table, round_trip=0.0) == "far"
-    assert isinstance(chosen(table, round_trip=0.15), NoPlace)
+    assert isinstance(chosen(table, round_trip=0.15), NoServerAvailable)
 
 
 @pytest.mark.parametrize(
@@ -109,21 +109,21 @@
 ):
     # Servers cache few keys. Keys that leave a region that is only busy evict those of
     # the other one. Both then run cold, and both regions stay full.
-    taken = sum(may_leave(f"k{number}", lost, busy) for number in range(2_000))
+    taken = sum(can_spill_key(f"k{number}", lost, busy) for number in range(2_000))
     assert taken / 2_000 == pytest.approx(share, abs=0.04)
 
 
 def test_a_busier_region_keeps_some_of_the_keys_it_accepted():
     keys = [f"k{number}" for number in range(200)]
-    first = {key for key in keys if may_leave(key, 1.0, 0.65)}
-    later = {key for key in keys if may_leave(key, 1.0, 0.85)}
+    first = {key for key in keys if can_spill_key(key, 1.0, 0.65)}
+    later = {key for key in keys if can_spill_key(key, 1.0, 0.85)}
     assert later < first
 
 
 @pytest.mark.parametrize("how", ["left", "suspected", "cold"])
 def test_a_region_that_lost_a_server_has_lost_capacity(how):
     table = table_of(home=4)
-    tracker = RoomWatch()
+    tracker = LostCapacityTracker()
     tracker.tick(table, NOW)
     assert tracker.lost_share(SERVICE, "home") == 0.0
     row = table.servers["home-0"]
@@ -140,7 +140,7 @@
 
 def test_a_region_that_lost_all_servers_has_lost_all_capacity():
     table = table_of(home=1)
-    tracker = RoomWatch()
+    tracker = LostCapacityTracker()
     tracker.tick(table, NOW)
     table.leaving.add(table.servers["home-0"].incarnation)
     table.rebuild()
@@ -153,7 +153,7 @@
     # loss decays; if all returned at once, they would change their region within one
     # interval of 2 s and run cold in their own region at the same time.
     table = table_of(home=4)
-    tracker = RoomWatch()
+    tracker = LostCapacityTracker()
     tracker.tick(table, NOW)
     table.leaving |= {table.servers[f"home-{n}"].incarnation for n in range(2)}
     table.rebuild()
@@ -169,7 +169,7 @@
 
 def test_a_busy_region_has_lost_no_capacity():
     table = table_of(home=4)
-    tracker = RoomWatch()
+    tracker = LostCapacityTracker()
     tracker.tick(table, NOW)
     fill(table, "home")
     tracker.tick(table, NOW + 1)
@@ -178,7 +178,7 @@
 
 def test_a_host_measures_its_own_region_and_merges_loads_of_others():
     table = table_of(home=2, far=2)
-    table.servers["home-0"].take_report(4, 9, NOW)
+    table.servers["home-0"].apply_report(4, 9, NOW)
     loads = RegionLoads("home")
     loads.measure(table, NOW)
     loads.take([RegionLoad("far", SERVICE, 0.7, 1.0)], NOW)
@@ -194,7 +194,7 @@
     loads.take([RegionLoad("far", SERVICE, 0.7, 0.5)], NOW)
     loads.take([RegionLoad("far", SERVICE, 0.1, 1.5)], NOW)
     assert loads.busy(SERVICE, "far", NOW) == 0.7
-    assert loads.known(NOW) == [RegionLoad("far", SERVICE, 0.7, 0.5)]
+    assert loads.recent_loads(NOW) == [RegionLoad("far", SERVICE, 0.7, 0.5)]
 
 
 def test_a_region_without_a_usable_server_is_full():
--- a/packages/core/tests/test_placing_typical_load.py
+++ b/packages/core/tests/test_placing_typical_load.py
@@ -66,7 +66,7 @@
         server.typical.record_run(1.1)
     assert server.run_seconds == pytest.approx(2.2, rel=0.1)
     for _ in range(100):
-        server.take_service_time(0.9)
+        server.record_service_time(0.9)
     assert server.run_seconds == pytest.approx(0.9, abs=0.05)
 
 
--- a/packages/node/greengagepoint_node/gateway/handler.py
+++ b/packages/node/greengagepoint_node/gateway/handler.py
@@ -7,7 +7,7 @@
 
 from greengagepoint.errors import ErrorKind
 from greengagepoint.overload.shared_retries import SharedRetryBudget
-from greengagepoint.placing.choice import NoPlace
+from greengagepoint.placing.choice import NoServerAvailable
 from greengagepoint.placing.tables import Server
 from greengagepoint.protocols import Clock
 from greengagepoint.routing.split import WeightedSplit
@@ -248,11 +248,11 @@
             raise self.guard.refusal()
         place = self.placer.place(call, tried, self.clock.monotonic())
         if not tried:
-            if isinstance(place, NoPlace):
+            if isinstance(place, NoServerAvailable):
                 raise no_place(call.service, place)
             self.retries.deposit(call.service, self.clock.monotonic())
             return place
-        if isinstance(place, NoPlace) or not self._may_send_again(call, last):
+        if isinstance(place, NoServerAvailable) or not self._may_send_again(call, last):
             return None
         return place
 
--- a/packages/node/greengagepoint_node/gateway/overdue.py
+++ b/packages/node/greengagepoint_node/gateway/overdue.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import Protocol
 
-from greengagepoint.placing.server_silence import may_still_end
+from greengagepoint.placing.server_silence import can_answer_in_time
 from greengagepoint.placing.tables import Server
 from greengagepoint.protocols import Clock
 from greengagepoint_node.gateway.call import Call
@@ -43,7 +43,7 @@
         self.tries = tries
         self.began = successors.clock.monotonic()
         placer = successors.placer
-        seconds = placer.silent_after(server, sending.seconds, self.began)
+        seconds = placer.silence_timeout(server, sending.seconds, self.began)
         loop = asyncio.get_running_loop()
         self.timer = loop.call_later(seconds, self._note_silence)
 
@@ -71,7 +71,9 @@
         if not self.tries.may_go_on(self.call.route.attempts_max):
             return
         left = self.sending.time_left.seconds()
-        if not may_still_end(left, self.successors.placer.answer_times(self.server)):
+        if not can_answer_in_time(
+            left, self.successors.placer.answer_times(self.server)
+        ):
             return
         successor = self.successors.next_server(
             self.call, self.tries, Verdict.TIMED_OUT
--- a/packages/node/greengagepoint_node/gateway/placing.py
+++ b/packages/node/greengagepoint_node/gateway/placing.py
@@ -5,17 +5,24 @@
 
 from greengagepoint.events import Event
 from greengagepoint.placing import suspicion
-from greengagepoint.placing.allowance import create_moving, create_waiting
+from greengagepoint.placing.allowance import (
+    create_move_allowance,
+    create_wait_allowance,
+)
 from greengagepoint.placing.busy_servers import BusyServers
-from greengagepoint.placing.choice import NoPlace, Permissions, Wanted
+from greengagepoint.placing.choice import NoServerAvailable, Permissions, ServerCriteria
 from greengagepoint.placing.cold_start import ColdStartLimiter
 from greengagepoint.placing.ranking import RankCache
 from greengagepoint.placing.region_loads import RegionLoads
-from greengagepoint.placing.regions import region_for_key, runs_near
-from greengagepoint.placing.room import RoomWatch
-from greengagepoint.placing.server_silence import AnswerTimes, silent_after
-from greengagepoint.placing.spilling import Elsewhere, choose_with_spill, may_leave
-from greengagepoint.placing.tables import SHEDDING_QUEUE, Incarnation, Server
+from greengagepoint.placing.regions import region_for_key, should_run_locally
+from greengagepoint.placing.room import LostCapacityTracker
+from greengagepoint.placing.server_silence import AnswerTimes, silence_timeout
+from greengagepoint.placing.spilling import (
+    RemoteRegion,
+    can_spill_key,
+    choose_with_spill,
+)
+from greengagepoint.placing.tables import SHEDDING_QUEUE_PER_SLOT, Incarnation, Server
 from greengagepoint.placing.warm_keys import WarmKeys
 from greengagepoint_node.context import EventSink
 from greengagepoint_node.gateway.call import Call
@@ -52,11 +59,11 @@
         self.distance = distance
         self.events = events
         self.ranks = RankCache()
-        self.waiting = create_waiting()
-        self.moving = create_moving()
+        self.waiting = create_wait_allowance()
+        self.moving = create_move_allowance()
         self.loads = RegionLoads(home)
         self.busy_servers = BusyServers()
-        self.room = RoomWatch()
+        self.room = LostCapacityTracker()
         self.warm_keys = WarmKeys()
         self.answers: dict[tuple[str, str], AnswerTimes] = {}
         self.cold = ColdStartLimiter(host, started_at)
@@ -66,12 +73,12 @@
 
     def place(
         self, call: Call, tried: frozenset[Incarnation], now: float
-    ) -> Server | NoPlace:
+    ) -> Server | NoServerAvailable:
         """Choose a server for a request that has not been sent to ``tried``."""
         weight_key = self._weight_key(call)
         region = region_for_key(_key_of(call), self.weights.current(weight_key))
         if region is None:
-            return NoPlace(retry_seconds=1.0, servers_known=False)
+            return NoServerAvailable(retry_seconds=1.0, servers_known=False)
         place = choose_with_spill(
             self.view.servers,
             self.ranks,
@@ -87,9 +94,9 @@
 
     def _wanted(
         self, call: Call, region: str, tried: frozenset[Incarnation], now: float
-    ) -> Wanted:
+    ) -> ServerCriteria:
         """Return what a request asks of the choice."""
-        return Wanted(
+        return ServerCriteria(
             call.service,
             [region],
             call.key,
@@ -113,11 +120,11 @@
         """Tell whether a request may leave its region for a server in another one."""
         lost = self.room.lost_share(call.service, region)
         busy = self.loads.busy(call.service, server.region, now)
-        return may_leave(_key_of(call), lost, busy)
+        return can_spill_key(_key_of(call), lost, busy)
 
     def _note_place(self, call: Call, server: Server, now: float) -> None:
         """Take in that a request goes to a server."""
-        suspicion.begin_trial(server, now)
+        suspicion.begin_probe(server, now)
         if call.key:
             # The server takes the key in as the run begins, so the next caller of the
             # key finds it warm before the first one is answered.
@@ -140,25 +147,25 @@
         """Keep what a try says of its server; ``waited`` is what was expected."""
         if call.key and exchange.verdict in NOT_RUN:
             self.warm_keys.forget(call.key, server.incarnation)
-        if not self.view.servers.holds(server):
+        if not self.view.servers.is_newest(server):
             return
         load = read_load(exchange.load)
         if load is not None:
-            server.take_report(load.running, load.waiting, now)
+            server.apply_report(load.running, load.waiting, now)
             self.busy_servers.note(server, load.running + load.waiting, now)
         elif exchange.verdict is Verdict.SHED:
-            server.take_shedding(now)
-            held = (1 + SHEDDING_QUEUE) * server.slots
+            server.apply_shedding(now)
+            held = (1 + SHEDDING_QUEUE_PER_SLOT) * server.slots
             self.busy_servers.note(server, held, now)
         if exchange.verdict is Verdict.ANSWERED:
-            suspicion.note_answer(server, now)
-            self.answer_times(server).take(seconds, now)
+            suspicion.record_answer(server, now)
+            self.answer_times(server).record_time(seconds, now)
             # A run that waited for its slot would make the server look slow, and its
             # queue twice as long as it is.
             if waited == 0 and (load is None or load.waiting == 0):
-                server.take_service_time(seconds)
+                server.record_service_time(seconds)
         elif exchange.verdict is Verdict.SHED:
-            suspicion.note_answer(server, now)
+            suspicion.record_answer(server, now)
         elif exchange.verdict is Verdict.OTHER_SERVER:
             self.view.note_replaced(server.incarnation)
         elif exchange.verdict in (Verdict.UNREACHABLE, Verdict.BROKEN):
@@ -168,19 +175,19 @@
         """Return how servers like this one have answered this host."""
         return self.answers.setdefault((server.service, server.region), AnswerTimes())
 
-    def silent_after(self, server: Server, seconds_left: float, now: float) -> float:
+    def silence_timeout(self, server: Server, seconds_left: float, now: float) -> float:
         """Return after how many seconds a server that answers nobody counts as dead."""
         members = self.view.servers.find(server.service, server.region).servers
         answers = self.answer_times(server)
-        return silent_after(
+        return silence_timeout(
             seconds_left, server.service_seconds, answers, len(members), now
         )
 
     def suspect(self, server: Server, verdict: Verdict, now: float) -> None:
         """Spare a server for a while, unless a newer one has its id."""
-        if not self.view.servers.holds(server):
+        if not self.view.servers.is_newest(server):
             return
-        suspicion.note_failure(server, now)
+        suspicion.record_failure(server, now)
         self.events.record(
             Event.BACKEND_SERVER_SUSPECTED,
             instance=server.instance,
@@ -198,7 +205,7 @@
         self.loads.measure(self.view.servers, now)
         self.cold.keep({row.incarnation for row in self.view.servers.servers.values()})
 
-    def _elsewhere(self, key: WeightKey, region: str, now: float) -> list[Elsewhere]:
+    def _elsewhere(self, key: WeightKey, region: str, now: float) -> list[RemoteRegion]:
         """Return the other region with the most free slots, if any may run a key.
 
         A small one next to it would be filled within a second by what a large one lost.
@@ -213,11 +220,11 @@
         if not free:
             return []
         name = max(free, key=free.__getitem__)
-        return [Elsewhere(name, self.distance(name))]
+        return [RemoteRegion(name, self.distance(name))]
 
     def _weight_key(self, call: Call) -> WeightKey:
         """Return which weights give a request's key its region."""
-        near = runs_near(call.route, self.round_trip_seconds)
+        near = should_run_locally(call.route, self.round_trip_seconds)
         return WeightKey(call.service, call.home_regions, near)
 
     def _cold_rate(self, service: str) -> float:
--- a/packages/node/greengagepoint_node/gateway/refusals.py
+++ b/packages/node/greengagepoint_node/gateway/refusals.py
@@ -7,7 +7,7 @@
 
 from greengagepoint.errors import ErrorKind
 from greengagepoint.events import Event
-from greengagepoint.placing.choice import NoPlace
+from greengagepoint.placing.choice import NoServerAvailable
 from greengagepoint.placing.ranking import unit_hash
 from greengagepoint_node.gateway.exchange import Exchange, Verdict
 from greengagepoint_node.gateway.names import HeaderNames
@@ -71,7 +71,7 @@
         return Event.REQUEST_FAILED
 
 
-def no_place(service: str, place: NoPlace) -> Refusal:
+def no_place(service: str, place: NoServerAvailable) -> Refusal:
     """Return the refusal of a request for which there is no server now."""
     if place.servers_known:
         kind, reason = ErrorKind.OVERLOADED, "all servers are busy"
--- a/packages/node/greengagepoint_node/gateway/region_weights.py
+++ b/packages/node/greengagepoint_node/gateway/region_weights.py
@@ -6,9 +6,9 @@
 from greengagepoint.placing.regions import (
     CHANGE_PER_SECOND,
     Weights,
-    moved_toward,
-    near_weights,
-    wanted_weights,
+    local_weights,
+    step_toward,
+    weights_by_slots,
 )
 from greengagepoint.placing.tables import ServerTable
 from greengagepoint_node.context import EventSink
@@ -61,15 +61,15 @@
             # A region without servers can't run anything, so its part moves at once.
             possible = {name: part for name, part in weights.items() if name in slots}
             wanted = self._wanted(key, slots)
-            moved = moved_toward(wanted_weights(possible), wanted, most)
+            moved = step_toward(weights_by_slots(possible), wanted, most)
             self.weights[key] = moved
             self._log(key, moved, slots)
 
     def _wanted(self, key: WeightKey, slots: dict[str, float]) -> Weights:
         """Return the weights that the servers ask for."""
         if not key.near:
-            return wanted_weights(slots)
-        return near_weights(slots, self.home, self.regions)
+            return weights_by_slots(slots)
+        return local_weights(slots, self.home, self.regions)
 
     def slots(self, key: WeightKey) -> dict[str, float]:
         """Return the slots by region that requests may use."""
--- a/packages/node/tests/test_gateway_answers.py
+++ b/packages/node/tests/test_gateway_answers.py
@@ -317,7 +317,7 @@
 async def test_no_server_fits_is_refused_at_once():
     async with async_world(servers=1, seconds=0.2) as world:
         row = world.daemon.view.servers.servers["i-0"]
-        row.take_report(4, 20, world.daemon.clock.monotonic())
+        row.apply_report(4, 20, world.daemon.clock.monotonic())
         began = asyncio.get_running_loop().time()
         status, _, headers = await world.async_call("/safe/1")
         assert status == 503
@@ -333,7 +333,7 @@
         now = world.daemon.clock.monotonic()
         world.daemon.placer.waiting.tokens = 0.0
         for row in world.daemon.view.servers.servers.values():
-            row.take_report(4, 30, now)
+            row.apply_report(4, 30, now)
         status, _, _ = await world.async_call("/safe/1")
         (row,) = world.events.of(Event.REQUEST_REFUSED)
         assert (status, row["kind"]) == (503, "overloaded")
--- a/packages/node/tests/test_gateway_incarnations.py
+++ b/packages/node/tests/test_gateway_incarnations.py
@@ -53,13 +53,13 @@
     fleet = started()
     older = fleet.servers.servers["i-1"]
     older.in_flight = 3
-    older.take_report(4, 9, NOW)
-    suspicion.note_failure(older, NOW)
+    older.apply_report(4, 9, NOW)
+    suspicion.record_failure(older, NOW)
     tell(fleet, write(3, 200, address, cold=2.5))
     newer = fleet.servers.servers["i-1"]
     assert members(fleet) == {run(200, address)}
     assert newer is not older
-    assert (newer.in_flight, newer.others, newer.failures) == (0, 0, 0)
+    assert (newer.in_flight, newer.others_in_flight, newer.failures) == (0, 0, 0)
     assert newer.cold_until == NOW + 2.5
     assert older.in_flight == 3
 
@@ -77,7 +77,7 @@
 
 def test_an_address_of_its_own_is_a_run_of_its_own_where_born_is_not_told():
     fleet = started(0)
-    suspicion.note_failure(fleet.servers.servers["i-1"], NOW)
+    suspicion.record_failure(fleet.servers.servers["i-1"], NOW)
     tell(fleet, write(3, 0, THERE))
     assert members(fleet) == {run(0, THERE)}
     assert fleet.servers.servers["i-1"].failures == 0
--- a/packages/node/tests/test_gateway_placing.py
+++ b/packages/node/tests/test_gateway_placing.py
@@ -3,7 +3,7 @@
 import pytest
 from gateway_world import ZONES, Lines
 
-from greengagepoint.placing.choice import NoPlace
+from greengagepoint.placing.choice import NoServerAvailable
 from greengagepoint.placing.region_loads import RegionLoad
 from greengagepoint.placing.tables import Server
 from greengagepoint.routing.tables import Destination, Route
@@ -34,7 +34,7 @@
         view.servers.leaving.add(row.incarnation)
     view.servers.rebuild()
     placer.tick(NOW)
-    view.servers.servers["north-3"].take_report(4, 40, NOW)
+    view.servers.servers["north-3"].apply_report(4, 40, NOW)
     placer.loads.take([RegionLoad("south", "booking", 0.1, 0.0)], NOW)
     placer.waiting.tokens = 0.0
     return placer
@@ -47,7 +47,7 @@
         key = f"k{number}"
         call = Call(f"id-{number}", ROUTE, "booking", key, "/", NOW, NOW + 5)
         place = placer.place(call, frozenset(), NOW)
-        found[key] = None if isinstance(place, NoPlace) else place.region
+        found[key] = None if isinstance(place, NoServerAvailable) else place.region
     return found
 
 
@@ -77,6 +77,6 @@
     for _ in range(3):
         assert places(placer) == found
     assert set(found.values()) == {None, "south"}
-    placer.view.servers.servers["north-3"].take_report(0, 0, NOW)
+    placer.view.servers.servers["north-3"].apply_report(0, 0, NOW)
     home = {key for key, region in places(placer).items() if region == "north"}
     assert home == {key for key, region in found.items() if region is None}
--- a/packages/node/tests/test_measure_account.py
+++ b/packages/node/tests/test_measure_account.py
@@ -3,14 +3,14 @@
 import msgspec
 import pytest
 
-from greengagepoint.placing.choice import NoPlace
+from greengagepoint.placing.choice import NoServerAvailable
 from greengagepoint_node.gateway.exchange import Exchange, Verdict
 from greengagepoint_node.gateway.refusals import no_answer, no_place
 from measure.account import read_account, render
 
 
 def busy(shortest, longest=0.2, age=0.1):
-    return no_place("booking", NoPlace(0.3, True, shortest, longest, 4, age))
+    return no_place("booking", NoServerAvailable(0.3, True, shortest, longest, 4, age))
 
 
 def line_of(refusal, at=10.0, host="h1"):
@@ -35,7 +35,7 @@
         (busy(0.1), "busy: short wait in the region"),
         (busy(0.3), "busy: long wait everywhere"),
         (busy(0.0, age=float("inf")), "busy: load not known"),
-        (no_place("booking", NoPlace(1.0, False)), "no server may be used"),
+        (no_place("booking", NoServerAvailable(1.0, False)), "no server may be used"),
         (no_answer(Exchange(Verdict.SHED), may_have_run=False), "not run: shed"),
         (
             no_answer(Exchange(Verdict.TIMED_OUT), may_have_run=True),
