--- a/packages/core/tests/test_placing_spilling.py
+++ b/packages/core/tests/test_placing_spilling.py
@@ -3,13 +3,13 @@
 import pytest
 
 from greengagepoint.placing.choice import NoServerAvailable, Permissions, ServerCriteria
-from greengagepoint.placing.lost_capacity import LostCapacityTracker
 from greengagepoint.placing.ranking import RankCache
 from greengagepoint.placing.region_loads import (
     AGE_MAX_SECONDS,
     RegionLoad,
     RegionLoads,
 )
+from greengagepoint.placing.room import LostCapacityTracker
 from greengagepoint.placing.spilling import (
     BUSY_CLOSED,
     BUSY_OPEN,
--- a/packages/node/greengagepoint_node/gateway/placing.py
+++ b/packages/node/greengagepoint_node/gateway/placing.py
@@ -12,10 +12,10 @@
 from greengagepoint.placing.busy_servers import BusyServers
 from greengagepoint.placing.choice import NoServerAvailable, Permissions, ServerCriteria
 from greengagepoint.placing.cold_start import ColdStartLimiter
-from greengagepoint.placing.lost_capacity import LostCapacityTracker
 from greengagepoint.placing.ranking import RankCache
 from greengagepoint.placing.region_loads import RegionLoads
 from greengagepoint.placing.regions import region_for_key, should_run_locally
+from greengagepoint.placing.room import LostCapacityTracker
 from greengagepoint.placing.server_silence import AnswerTimes, silence_timeout
 from greengagepoint.placing.spilling import (
     RemoteRegion,
