--- a/packages/platform_tests/tests/test_platform_decoding.py
+++ b/packages/platform_tests/tests/test_platform_decoding.py
@@ -112,12 +112,12 @@
 @pytest.mark.parametrize(
     ("change", "message"),
     [
-        ({"apiKeys": ["secret-3"]}, "one and two hold the same key"),
-        ({"name": "two"}, "two accounts are called two"),
-        ({"name": ""}, "no usable name"),
-        ({"name": "a b"}, "no usable name"),
-        ({"name": "a\r\nX: 1"}, "no usable name"),
-        ({"name": "a" * 300}, "too long"),
+        ({"apiKeys": ["secret-3"]}, "one and two have the same account key"),
+        ({"name": "two"}, "duplicate account two"),
+        ({"name": ""}, "name must be non-empty printable ASCII"),
+        ({"name": "a b"}, "name must be non-empty printable ASCII"),
+        ({"name": "a\r\nX: 1"}, "name must be non-empty printable ASCII"),
+        ({"name": "a" * 300}, "longer than 255"),
         ({"ratePerS": -1}, "negative"),
         ({"burst": -0.5}, "negative"),
         ({"apiKeys": [""]}, "empty key"),
