--- a/packages/node/greengagepoint_node/gateway/counters.py
+++ b/packages/node/greengagepoint_node/gateway/counters.py
@@ -1,4 +1,4 @@
-"""Count what the request path does, in plain tables that a scrape reads."""
+"""Count requests, attempts and store calls in tables read by metrics scrapes."""
 
 from collections import Counter
 from typing import Final, NamedTuple
@@ -10,7 +10,8 @@
 ADMITTED: Final = "admitted"
 REFUSED: Final = "refused"
 OTHER: Final = "other"
-# Operators add routes by the thousand; a series for each would outgrow the host.
+# Operators add routes by the thousand; a series for each would exhaust the host's
+# memory.
 ROUTES_MAX: Final = 100
 ACCOUNTS_MAX: Final = 100
 SECONDS_BOUNDS: Final = (0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.6, 1, 2, 4, 8)
@@ -18,7 +19,7 @@
 
 
 class Gauges(NamedTuple):
-    """What a host believes now; ages are seconds, -1 where nothing is known yet."""
+    """A host's current view; ages are in seconds, -1 if there is no value yet."""
 
     configuration_version: int
     configuration_age_seconds: float
@@ -38,13 +39,13 @@
 class GatewayCounters:
     """Totals since the start.
 
-    Keys are (service, route, outcome) for requests, (service, verdict) for tries,
-    (service, region) for where requests ran, (operation, outcome) for store calls,
-    (path, direction) for the bytes of messages between hosts, (reason,) for items of
-    the store that were refused, (service,) for requests in flight at a server that
-    ended, (account, admitted or refused) for ``accounts``. ``send_delay`` are the
-    seconds from the choice of a server to the first byte, ``news_age`` how old the
-    host's news was then.
+    Keys are (service, route, outcome) for requests, (service, verdict) for attempts
+    (``tries``), (service, region) for answers, (operation, outcome) for store calls,
+    (path, direction) for the bytes of messages between hosts, (reason,) for rejected
+    items of the store, (service,) for requests in flight at a server crash, (account,
+    admitted or refused) for ``accounts``. ``send_delay`` holds the seconds from the
+    choice of a server to the first byte, ``news_age`` the age of the host's state at
+    the first byte.
     """
 
     def __init__(self) -> None:
@@ -53,7 +54,7 @@
         self.regions: Counter[tuple[str, str]] = Counter()
         self.store_calls: Counter[tuple[str, str]] = Counter()
         self.peer_bytes: Counter[tuple[str, str]] = Counter()
-        self.refused_items: Counter[tuple[str]] = Counter()
+        self.rejected_items: Counter[tuple[str]] = Counter()
         self.servers_ended: Counter[tuple[str]] = Counter()
         self.durations: dict[tuple[str, str], Histogram] = {}
         self.loop_lag = Histogram(LAG_BOUNDS)
@@ -66,8 +67,8 @@
     def add_request(
         self, service: str, route: str, outcome: ErrorKind | str, seconds: float
     ) -> None:
-        """Count the end of a request."""
-        route = self._known(route)
+        """Count a finished request and its duration."""
+        route = self._route_label(route)
         self.requests[service, route, str(outcome)] += 1
         duration = self.durations.get((service, route))
         if duration is None:
@@ -75,7 +76,7 @@
         duration.add(seconds)
 
     def add_account(self, name: str, *, admitted: bool) -> None:
-        """Count a request of an account, under one label for all beyond the bound."""
+        """Count a request of an account; accounts over the limit share one label."""
         if name not in self.account_names:
             if len(self.account_names) < ACCOUNTS_MAX:
                 self.account_names.add(name)
@@ -83,8 +84,8 @@
                 name = OTHER
         self.accounts[name, ADMITTED if admitted else REFUSED] += 1
 
-    def _known(self, route: str) -> str:
-        """Return the label of a route, one label for all beyond the bound."""
+    def _route_label(self, route: str) -> str:
+        """Return the label of a route; routes over the limit share one label."""
         if route not in self.routes:
             if len(self.routes) >= ROUTES_MAX:
                 return OTHER
--- a/packages/node/greengagepoint_node/gateway/daemon.py
+++ b/packages/node/greengagepoint_node/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""Compose the request path of one host, run it, and stop it without a cut."""
+"""Compose the request path of one host, run it, and stop it gracefully."""
 
 import asyncio
 import gc
@@ -64,28 +64,28 @@
 HEADERS_MAX: Final = 100
 CONNECTIONS_MAX: Final = 3_000
 HEADER_BYTES_MAX: Final = 64 * 1024
-# Callers hold connections open for this long before their first request.
+# Callers may hold a connection open for this long before its first request.
 FIRST_REQUEST_SECONDS: Final = 20.0
 CONNECT_SECONDS: Final = 0.6
-# Backend servers close idle connections after seconds; one that has just been used is
-# still open, so nothing is sent into a closing one.
+# Backend servers close idle connections after a few seconds. Only a recently used
+# connection is reused, so that no request is sent on one that is being closed.
 KEEPALIVE_SECONDS: Final = 4.0
-# Of the time for a stop, the part in which new requests are still taken: callers keep
-# addresses for up to three times as long as they were told.
-ACCEPTING_SHARE: Final = 0.5
-CLOSING_SECONDS: Final = 0.4
-# After that the host still listens and says at once that it has not run a request:
-# whatever is on its way when the socket closes gets no answer at all. It exits when no
-# caller has come for this long.
+# The fraction of the stop time in which new requests are still accepted: callers keep
+# addresses for up to three times as long as their validity.
+ACCEPTING_FRACTION: Final = 0.5
+CLOSE_SECONDS: Final = 0.4
+# After that the host still listens and answers at once that it has not run a request,
+# because requests in transit when the socket closes get no answer at all. It exits when
+# no request has arrived for this long.
 QUIET_SECONDS: Final = 0.8
 POLL_SECONDS: Final = 0.1
 
-# One host a region watches the store for the others. When it is lost they find their
-# news stale and watch themselves until another one has taken its place; a second one
-# would cost as many calls again, each second, for those two or three seconds.
-WATCHERS_HERE: Final = 1
+# One host per region watches the store for the others. If it is lost, the others find
+# their state stale and watch the store themselves for the two or three seconds until it
+# is replaced. A second watcher would avoid that, but double the calls in every second.
+WATCHERS_PER_REGION: Final = 1
 
-APPLIED_AT_ONCE: Final = frozenset(
+RELOADABLE_SETTINGS: Final = frozenset(
     {"retry_ratio", "retry_slack", "retry_window_seconds", "seeds", "stop_seconds"}
 )
 
@@ -95,7 +95,7 @@
 
 
 class GatewayDaemon:
-    """One run of the request path on one host."""
+    """The request path of one host, from start to stop."""
 
     def __init__(
         self,
@@ -121,7 +121,7 @@
         self.stop_wanted = asyncio.Event()
         self.loader = ConfigurationLoader(read_parts, clock)
         self.view = FleetView(
-            settings.zones, decode, events, self.counters.refused_items, self.loader
+            settings.zones, decode, events, self.counters.rejected_items, self.loader
         )
         self.entry = HostEntry(
             settings.host,
@@ -131,7 +131,7 @@
             settings.peer_address,
             settings.link_mbps,
         )
-        self.own = HostState(self.entry, time.time_ns(), 0, leaving=False)
+        self.own_state = HostState(self.entry, time.time_ns(), 0, leaving=False)
         regions = len(set(settings.zones.values()))
         self.weights = RegionWeights(
             settings.region, regions, self.view.servers, events
@@ -149,17 +149,17 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     async def async_run(self) -> None:
-        """Serve until a stop is wanted, then stop gracefully."""
+        """Serve until a stop is requested, then stop gracefully."""
         await self.async_start()
-        # What was loaded so far lasts as long as the process. Each full collection of
-        # garbage would walk through it in one step of the event loop, and hold up all
+        # Objects loaded so far live as long as the process. Each full collection of
+        # garbage would traverse them in one step of the event loop, and delay all
         # callers meanwhile.
         gc.freeze()
         await self.stop_wanted.wait()
         await self.async_stop()
 
     async def async_start(self) -> None:
-        """Open sockets and start all parts."""
+        """Open the listening sockets and start all background tasks."""
         settings = self.settings
         self.sessions = create_backend_sessions(
             connect_seconds=CONNECT_SECONDS,
@@ -168,7 +168,7 @@
             trace=trace_connections(self.link, self.clock),
         )
         self.gossip = Gossip(
-            self.own,
+            self.own_state,
             self.view,
             list(settings.seeds),
             self.clock,
@@ -189,7 +189,7 @@
         self.gossip.writer.loads = self.placer.loads
         self.gossip.writer.busy_servers = self.placer.busy_servers
         self.counters.peer_bytes = self.gossip.bytes
-        self._connect_quarantine()
+        self._create_quarantine_sync()
         self._create_reports()
         ages = self.gossip.ages
         self.gateway = Gateway(
@@ -243,8 +243,8 @@
             self.tasks.append(asyncio.create_task(work))
         self.events.record(Event.DAEMON_STARTED, address=settings.front_address)
 
-    def _connect_quarantine(self) -> None:
-        """Let peers and the store tell what this host knows of fatal requests."""
+    def _create_quarantine_sync(self) -> None:
+        """Share requests that crash servers with peers and through the store."""
         self.quarantine_sync = QuarantineSync(
             self.quarantine,
             self.gossip.peer_addresses,
@@ -265,10 +265,10 @@
         self.view.quarantine = self.quarantine_store
 
     def _create_reports(self) -> None:
-        """Let all hosts together keep the limits of accounts."""
+        """Create the parts that enforce the limits of accounts over all hosts."""
         self.gate = AccountGate(self.random, self.settings.limit_bounds)
         self.reports = RegionReports(
-            self.own,
+            self.own_state,
             self.view,
             self.gossip.table,
             self.gate,
@@ -283,31 +283,31 @@
         )
 
     async def async_stop(self) -> None:
-        """Leave look-ups, let all in flight end, and close."""
+        """Leave the directory, finish requests in flight, and close the sockets."""
         began = self.clock.monotonic()
         self.events.record(Event.DAEMON_STOPPING, in_flight=self.gateway.in_flight)
         self.gateway.leaving = True
-        self.own.leaving = True
-        self.own.count += 1
+        self.own_state.leaving = True
+        self.own_state.count += 1
         self.tasks[1].cancel()
         withdrawal = asyncio.create_task(self.registration.async_withdraw())
-        ends_at = began + self.settings.stop_seconds - 2 * CLOSING_SECONDS
-        await asyncio.sleep(self.settings.stop_seconds * ACCEPTING_SHARE)
+        ends_at = began + self.settings.stop_seconds - 2 * CLOSE_SECONDS
+        await asyncio.sleep(self.settings.stop_seconds * ACCEPTING_FRACTION)
         self.gateway.refusing = True
         while not self.gateway.is_quiet(QUIET_SECONDS):
             if self.clock.monotonic() > ends_at:
                 break
             await asyncio.sleep(POLL_SECONDS)
         await self.front.async_stop_accepting()
-        # The last answers leave the handlers before they leave the host.
-        await self.front.async_close(CLOSING_SECONDS)
+        # Handlers return before the last answers are fully sent.
+        await self.front.async_close(CLOSE_SECONDS)
         withdrawal.cancel()
         for task in self.tasks:
             task.cancel()
         self.events.record(Event.DAEMON_STOPPED, cut_off=self.gateway.in_flight)
 
     def apply(self, settings: GatewaySettings) -> list[str]:
-        """Take in changed settings; return the names of those that need a restart."""
+        """Apply changed settings; return the names of those that need a restart."""
         self.retries.ratio = settings.retry_ratio
         self.retries.slack = settings.retry_slack
         self.retries.window_seconds = settings.retry_window_seconds
@@ -324,7 +324,7 @@
             retry_slack=settings.retry_slack,
             retry_window_seconds=settings.retry_window_seconds,
         )
-        return [name for name in changed if name not in APPLIED_AT_ONCE]
+        return [name for name in changed if name not in RELOADABLE_SETTINGS]
 
     async def _async_listen(self) -> None:
         """Open all listening sockets."""
@@ -356,7 +356,7 @@
             await self._async_listen_for_scrapes(limits)
 
     async def _async_listen_for_scrapes(self, limits: ServerLimits) -> None:
-        """Serve metrics; callers are served all the same where that fails."""
+        """Serve metrics; a failure to listen leaves the request path running."""
         address = self.settings.metrics_address
         listener = Listener(address, self._async_answer_operator, self.events, limits)
         try:
@@ -369,17 +369,19 @@
         self.listeners.append(listener)
 
     async def _async_tick(self) -> None:
-        """Run the periodic decisions."""
+        """Update the state that depends on time or on the hosts alive, periodically."""
         while True:
             now = self.clock.monotonic()
             hosts = self.gossip.table.alive(now)
             self.view.tick(now)
             self.weights.tick(now)
             region = self.settings.region
-            near = [row.entry for row in hosts if row.entry.region == region]
-            watchers = watchers_of(region, well_linked(near), WATCHERS_HERE)
+            local_hosts = [row.entry for row in hosts if row.entry.region == region]
+            watchers = watchers_of(
+                region, well_linked(local_hosts), WATCHERS_PER_REGION
+            )
             self.gossip.is_watcher = self.settings.host in watchers
-            self.view.servers.set_senders(max(1, len(near)))
+            self.view.servers.set_senders(max(1, len(local_hosts)))
             names = sorted(state.entry.name for state in hosts)
             self.placer.serving_hosts = names
             self.placer.round_trip_seconds = self.gossip.distances.farthest()
@@ -387,19 +389,19 @@
             self.quarantine.tick()
             self.retries.hosts = max(len(names), len(self.view.hosts))
             self.gate.hosts = self.retries.hosts
-            full = self.reports.link_is_full = self.gossip.link_is_full()
+            is_full = self.reports.link_is_full = self.gossip.link_is_full()
             self.gate.limits_valid_seconds = (
-                FULL_LINK_LIMITS_VALID_SECONDS if full else LIMITS_VALID_SECONDS
+                FULL_LINK_LIMITS_VALID_SECONDS if is_full else LIMITS_VALID_SECONDS
             )
-            self.reports.near_hosts = len(near)
+            self.reports.near_hosts = len(local_hosts)
             await asyncio.sleep(TICK_SECONDS)
             self.counters.loop_lag.add(self.clock.monotonic() - now - TICK_SECONDS)
 
     def gauges(self) -> Gauges:
-        """Return what this host believes now."""
+        """Return this host's current view."""
         now = self.clock.monotonic()
         view = self.view
-        known = view.servers.servers.values()
+        server_rows = view.servers.servers.values()
         verified_at = view.certainty.verified_at
         return Gauges(
             configuration_version=view.routes.version if view.routes else 0,
@@ -407,10 +409,12 @@
             configuration_certainty_age_seconds=_age(verified_at, now),
             store_contact_age_seconds=_age(self.follower.reached_at, now),
             store_revision=view.revision,
-            backend_servers=len(known),
-            backend_servers_suspected=sum(row.suspect_until > now for row in known),
+            backend_servers=len(server_rows),
+            backend_servers_suspected=sum(
+                row.suspect_until > now for row in server_rows
+            ),
             requests_suspected=len(self.quarantine.table.suspects),
-            requests_quarantined=len(self.quarantine.refused),
+            requests_quarantined=len(self.quarantine.quarantined),
             hosts_alive=len(self.gossip.table.alive(now)),
             requests_in_flight=self.gateway.in_flight,
             link_delay_seconds=round(self.link.seconds(now), 3),
@@ -418,7 +422,7 @@
         )
 
     def is_ready(self) -> bool:
-        """Tell whether callers may be sent here."""
+        """Return True if this host accepts callers and has a configuration."""
         return not self.gateway.leaving and self.view.routes is not None
 
     async def _async_answer_ready(self, request: web.BaseRequest) -> web.Response:
@@ -428,26 +432,26 @@
         return web.Response(status=200 if self.is_ready() else 503)
 
     async def _async_answer_peer(self, request: web.BaseRequest) -> web.Response:
-        """Answer a peer."""
+        """Dispatch a peer's message by its path."""
         if request.rel_url.raw_path == PATH:
             return await self.gossip.async_answer(request)
         if request.rel_url.raw_path == NEWS_PATH:
             return await self.gossip.async_take_news(request)
         if request.rel_url.raw_path == QUARANTINE_PATH:
-            return await self.quarantine_sync.async_take(request)
+            return await self.quarantine_sync.async_receive(request)
         if request.rel_url.raw_path == REPORTS_PATH:
             return await self.reports.async_take(request)
         return web.Response(status=404)
 
     async def _async_answer_operator(self, request: web.BaseRequest) -> web.Response:
-        """Answer a scrape or an operator."""
+        """Answer a metrics scrape or an operator's request."""
         if request.rel_url.raw_path.startswith(PAGE_PATH):
             return self.quarantine_page.answer(request)
         return await self.metrics.async_answer(request)
 
 
 def _age(since: float | None, now: float) -> float:
-    """Return the seconds since something happened, -1 where it has not yet."""
+    """Return the seconds since ``since``, or -1 if it has not happened yet."""
     if since is None or math.isinf(since):
         return -1.0
     return round(now - since, 3)
--- a/packages/node/greengagepoint_node/gateway/log_lines.py
+++ b/packages/node/greengagepoint_node/gateway/log_lines.py
@@ -1,4 +1,4 @@
-"""Write numbered events as JSON lines without ever waiting for their reader."""
+"""Write numbered events as JSON lines without blocking on their reader."""
 
 import os
 import queue
@@ -10,8 +10,8 @@
 from greengagepoint.events import CATALOGUE, Event
 from greengagepoint.protocols import Clock
 
-# Some hundred kilobytes. A slower reader loses lines, which are counted, and no request
-# waits for it.
+# A few hundred kilobytes. A slow reader loses lines, which are counted, and delays no
+# request.
 LINES_MAX: Final = 2_000
 CLOSE_SECONDS: Final = 0.3
 
@@ -19,7 +19,7 @@
 
 
 class LineWriter:
-    """Hand lines to a thread that writes them; drop and count what it can't take."""
+    """Queue lines for a writer thread; drop and count lines that do not fit."""
 
     def __init__(self, descriptor: int) -> None:
         self.descriptor = descriptor
@@ -29,14 +29,14 @@
         self.thread.start()
 
     def write(self, line: bytes) -> None:
-        """Take one line, with its line break."""
+        """Queue one line, which includes its line break."""
         try:
             self.lines.put_nowait(line)
         except queue.Full:
             self.dropped += 1
 
     def close(self) -> None:
-        """Write what is left, unless the reader has stopped reading."""
+        """Write the queued lines, unless the reader has stopped reading."""
         try:
             self.lines.put(None, timeout=CLOSE_SECONDS)
         except queue.Full:
@@ -44,7 +44,7 @@
         self.thread.join(CLOSE_SECONDS)
 
     def _run(self) -> None:
-        """Write lines until the end."""
+        """Write queued lines until the writer is closed."""
         while (line := self.lines.get()) is not None:
             view = memoryview(line)
             while view:
@@ -52,13 +52,13 @@
 
 
 class LoggedLines:
-    """Record events as lines of a host's log."""
+    """Write events as lines of a host's log."""
 
     def __init__(self, host: str, clock: Clock, writer: LineWriter) -> None:
         self.host = host
         self.clock = clock
         self.writer = writer
-        self.told_dropped = 0
+        self.reported_dropped = 0
 
     def record(self, event: Event, **fields: Any) -> None:
         """Write one event."""
@@ -69,8 +69,8 @@
             "event": int(event),
             "name": event.name.lower(),
         }
-        if self.writer.dropped > self.told_dropped:
+        if self.writer.dropped > self.reported_dropped:
             row["lines_dropped"] = self.writer.dropped
-            self.told_dropped = self.writer.dropped
+            self.reported_dropped = self.writer.dropped
         row.update(fields)
         self.writer.write(encode(row) + b"\n")
--- a/packages/node/greengagepoint_node/gateway/metrics_handler.py
+++ b/packages/node/greengagepoint_node/gateway/metrics_handler.py
@@ -14,7 +14,7 @@
 
 
 class MetricsHandler:
-    """Hold the page, which is made at the first scrape."""
+    """Serve the metrics page, which is created at the first scrape."""
 
     def __init__(self, counters: GatewayCounters, gauges: Callable[[], Gauges]) -> None:
         self.counters = counters
@@ -26,7 +26,7 @@
         if request.rel_url.raw_path != METRICS_PATH:
             return web.Response(status=404)
         if self.page is None:
-            # The import takes about 0.2 s; on the loop, requests would wait for it.
+            # The import takes about 0.2 s and would block the event loop.
             module = await asyncio.to_thread(importlib.import_module, PAGE_MODULE)
             self.page = module.MetricsPage(self.counters, self.gauges)
         return web.Response(
--- a/packages/node/greengagepoint_node/gateway/metrics_page.py
+++ b/packages/node/greengagepoint_node/gateway/metrics_page.py
@@ -1,8 +1,8 @@
 """Render the request path's counters as Prometheus text.
 
-Imported at the first scrape: a host that nobody scrapes does not need OpenTelemetry's
-memory. Its Prometheus exporter needs the TLS module, which this daemon leaves out for
-the same reason, so the text is written here.
+Imported at the first scrape, so that a host without scrapes saves the memory that
+OpenTelemetry takes. Its Prometheus exporter needs the TLS module, which this daemon
+does not load for the same reason, so the text format is written here.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -17,14 +17,14 @@
 from greengagepoint_node.histogram import Histogram
 
 METER_NAME = "greengagepoint"
-# The parts of a histogram, which have no ending of their own as counters do.
+# Series of a histogram, which do not get the suffix ``_total`` of other counters.
 HISTOGRAM_PARTS = ("_bucket", "_sum")
 
 Rows = Iterable[tuple[float, dict[str, str]]]
 
 
 class Instrument(NamedTuple):
-    """One observable counter."""
+    """An observable counter."""
 
     name: str
     description: str
@@ -32,7 +32,7 @@
 
 
 class MetricsPage:
-    """The registry of one host."""
+    """The metrics of one host, rendered for Prometheus."""
 
     def __init__(self, counters: GatewayCounters, gauges: Callable[[], Gauges]) -> None:
         self.counters = counters
@@ -51,7 +51,7 @@
         self._declare_gauges(meter)
 
     def render(self) -> bytes:
-        """Return all figures in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         data = self.reader.get_metrics_data()
         lines = [
             line
@@ -63,7 +63,7 @@
         return ("\n".join(lines) + "\n").encode()
 
     def _instruments(self) -> Iterator[Instrument]:
-        """Yield the counters and the parts of the histograms."""
+        """Yield the counters and the series of the histograms."""
         counters = self.counters
         yield Instrument(
             "requests",
@@ -93,7 +93,7 @@
         yield Instrument(
             "store_items_refused",
             "Items of the platform's store that were refused, by reason.",
-            lambda: _rows(counters.refused_items, "reason"),
+            lambda: _rows(counters.rejected_items, "reason"),
         )
         yield Instrument(
             "requests_in_flight_at_server_end",
@@ -142,7 +142,7 @@
 def _histogram(
     name: str, description: str, histogram: Histogram
 ) -> Iterator[Instrument]:
-    """Yield the parts of a histogram of seconds that has no labels."""
+    """Yield the series of a histogram of seconds that has no labels."""
     table = {(): histogram}
     yield Instrument(
         f"{name}_seconds_bucket", f"{description}.", lambda: _buckets(table)
@@ -176,7 +176,7 @@
 def _observer(
     read: Callable[[], Rows],
 ) -> Callable[[CallbackOptions], Iterator[Observation]]:
-    """Return an OpenTelemetry callback for rows."""
+    """Return an OpenTelemetry callback that observes the rows."""
     return lambda options: (Observation(value, labels) for value, labels in read())
 
 
@@ -199,5 +199,5 @@
 
 
 def _escaped(text: str) -> str:
-    """Return a label's value as the text format wants it."""
+    """Escape a label's value for the text format."""
     return text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
--- a/packages/node/greengagepoint_node/gateway/placing.py
+++ b/packages/node/greengagepoint_node/gateway/placing.py
@@ -1,4 +1,4 @@
-"""Place requests on backend servers, and learn from how they end there."""
+"""Choose backend servers for requests, and track the load and health of servers."""
 
 from collections.abc import Callable
 from typing import Final, NamedTuple
@@ -23,19 +23,22 @@
 from greengagepoint_node.gateway.region_weights import RegionWeights, WeightKey
 from greengagepoint_node.gateway.view import FleetView
 
-# Looking at each of 3,000 servers takes 3 ms; news of loads is passed on for seconds.
-MEASURE_SECONDS: Final = 0.5
+# A pass over 3,000 servers takes 3 ms, and load reports stay in use for seconds.
+LOAD_REFRESH_SECONDS: Final = 0.5
 
 
 class Load(NamedTuple):
-    """How many requests a server runs, and how many wait for a slot."""
+    """The requests that a server runs, and those that wait there for a slot."""
 
     running: int
     waiting: int
 
 
 class Placer:
-    """Hold what this host's choices stand on."""
+    """Choose servers for requests from this host's view of the fleet.
+
+    ``distance`` returns the round-trip time to a region in seconds.
+    """
 
     def __init__(
         self,
@@ -59,36 +62,38 @@
         self.room = RoomWatch()
         self.warm_keys = WarmKeys()
         self.answers: dict[tuple[str, str], AnswerTimes] = {}
-        self.cold = ColdStartLimiter(host, started_at)
+        self.cold_starts = ColdStartLimiter(host, started_at)
         self.serving_hosts: list[str] = [host]
         self.round_trip_seconds = 0.0
-        self.measured_at = float("-inf")
+        self.loads_measured_at = float("-inf")
 
     def place(
         self, call: Call, tried: frozenset[Incarnation], now: float
     ) -> Server | NoPlace:
-        """Choose a server for a request that has not been sent to ``tried``."""
+        """Choose a server for a request, other than those in ``tried``."""
         weight_key = self._weight_key(call)
-        region = region_for_key(_key_of(call), self.weights.current(weight_key))
+        region = region_for_key(_placement_key(call), self.weights.current(weight_key))
         if region is None:
             return NoPlace(retry_seconds=1.0, servers_known=False)
-        place = choose_with_spill(
+        choice = choose_with_spill(
             self.view.servers,
             self.ranks,
-            self._wanted(call, region, tried, now),
-            self._elsewhere(weight_key, region, now) if weight_key.near else (),
-            self._permissions(call, now),
-            lambda server: self._may_leave(call, region, server, now),
+            self._create_wanted(call, region, tried, now),
+            self._spill_candidates(weight_key, region, now)
+            if weight_key.prefers_local
+            else (),
+            self._create_permissions(call, now),
+            lambda server: self._may_spill(call, region, server, now),
             now,
         )
-        if isinstance(place, Server):
-            self._note_place(call, place, now)
-        return place
+        if isinstance(choice, Server):
+            self._record_placement(call, choice, now)
+        return choice
 
-    def _wanted(
+    def _create_wanted(
         self, call: Call, region: str, tried: frozenset[Incarnation], now: float
     ) -> Wanted:
-        """Return what a request asks of the choice."""
+        """Return what a request requires of its server."""
         return Wanted(
             call.service,
             [region],
@@ -100,31 +105,33 @@
             self.distance(region),
         )
 
-    def _permissions(self, call: Call, now: float) -> Permissions:
-        """Return what the choice for a request may use up."""
-        rate = self._cold_rate(call.service)
+    def _create_permissions(self, call: Call, now: float) -> Permissions:
+        """Return the limited allowances that the choice for a request may use."""
+        rate = self._cold_requests_per_second(call.service)
 
         def may_send(server: Server) -> bool:
-            return self.cold.may_send(server.incarnation, rate, self.serving_hosts, now)
+            return self.cold_starts.may_send(
+                server.incarnation, rate, self.serving_hosts, now
+            )
 
         return Permissions(may_send, self.waiting.withdraw, self.moving.withdraw)
 
-    def _may_leave(self, call: Call, region: str, server: Server, now: float) -> bool:
-        """Tell whether a request may leave its region for a server in another one."""
+    def _may_spill(self, call: Call, region: str, server: Server, now: float) -> bool:
+        """Return True if a request may spill to a server of another region."""
         lost = self.room.lost_share(call.service, region)
         busy = self.loads.busy(call.service, server.region, now)
-        return may_leave(_key_of(call), lost, busy)
+        return may_leave(_placement_key(call), lost, busy)
 
-    def _note_place(self, call: Call, server: Server, now: float) -> None:
-        """Take in that a request goes to a server."""
+    def _record_placement(self, call: Call, server: Server, now: float) -> None:
+        """Record that a request is assigned to a server."""
         suspicion.begin_trial(server, now)
         if call.key:
-            # The server takes the key in as the run begins, so the next caller of the
-            # key finds it warm before the first one is answered.
+            # The server loads the key when it starts the request, so the key is warm
+            # for the next caller before the first one is answered.
             self.warm_keys.note(call.key, server.incarnation, now)
 
     def take_caller(self) -> None:
-        """Count one caller toward what a part of them may use up."""
+        """Add one caller's share to the allowances for waiting and for moved keys."""
         self.waiting.deposit()
         self.moving.deposit()
 
@@ -134,10 +141,14 @@
         server: Server,
         exchange: Exchange,
         seconds: float,
-        waited: float,
+        expected_wait: float,
         now: float,
     ) -> None:
-        """Keep what a try says of its server; ``waited`` is what was expected."""
+        """Record the outcome of an attempt at a server.
+
+        ``expected_wait`` is the wait for a slot expected when the server was chosen.
+        ``seconds`` is the time from sending the request to the outcome.
+        """
         if call.key and exchange.verdict in NOT_RUN:
             self.warm_keys.forget(call.key, server.incarnation)
         if not self.view.servers.holds(server):
@@ -148,14 +159,14 @@
             self.busy_servers.note(server, load.running + load.waiting, now)
         elif exchange.verdict is Verdict.SHED:
             server.take_shedding(now)
-            held = (1 + SHEDDING_QUEUE) * server.slots
-            self.busy_servers.note(server, held, now)
+            assumed_load = (1 + SHEDDING_QUEUE) * server.slots
+            self.busy_servers.note(server, assumed_load, now)
         if exchange.verdict is Verdict.ANSWERED:
             suspicion.note_answer(server, now)
             self.answer_times(server).take(seconds, now)
-            # A run that waited for its slot would make the server look slow, and its
-            # queue twice as long as it is.
-            if waited == 0 and (load is None or load.waiting == 0):
+            # The time of a request that waited for its slot would make the server look
+            # slow, and its queue twice as long as it is.
+            if expected_wait == 0 and (load is None or load.waiting == 0):
                 server.take_service_time(seconds)
         elif exchange.verdict is Verdict.SHED:
             suspicion.note_answer(server, now)
@@ -165,11 +176,11 @@
             self.suspect(server, exchange.verdict, now)
 
     def answer_times(self, server: Server) -> AnswerTimes:
-        """Return how servers like this one have answered this host."""
+        """Return this host's answer times for a server's service and region."""
         return self.answers.setdefault((server.service, server.region), AnswerTimes())
 
     def silent_after(self, server: Server, seconds_left: float, now: float) -> float:
-        """Return after how many seconds a server that answers nobody counts as dead."""
+        """Return the seconds without any answer after which a server counts as dead."""
         members = self.view.servers.find(server.service, server.region).servers
         answers = self.answer_times(server)
         return silent_after(
@@ -177,7 +188,7 @@
         )
 
     def suspect(self, server: Server, verdict: Verdict, now: float) -> None:
-        """Spare a server for a while, unless a newer one has its id."""
+        """Suspect a server for a while, unless a newer incarnation has replaced it."""
         if not self.view.servers.holds(server):
             return
         suspicion.note_failure(server, now)
@@ -190,20 +201,24 @@
         )
 
     def tick(self, now: float) -> None:
-        """Look at the room there is, and drop what is kept of servers that are gone."""
+        """Update free capacity and loads, and drop the state of removed servers."""
         self.room.tick(self.view.servers, now)
-        if now - self.measured_at < MEASURE_SECONDS:
+        if now - self.loads_measured_at < LOAD_REFRESH_SECONDS:
             return
-        self.measured_at = now
+        self.loads_measured_at = now
         self.loads.measure(self.view.servers, now)
-        self.cold.keep({row.incarnation for row in self.view.servers.servers.values()})
+        self.cold_starts.keep(
+            {row.incarnation for row in self.view.servers.servers.values()}
+        )
 
-    def _elsewhere(self, key: WeightKey, region: str, now: float) -> list[Elsewhere]:
-        """Return the other region with the most free slots, if any may run a key.
+    def _spill_candidates(
+        self, key: WeightKey, region: str, now: float
+    ) -> list[Elsewhere]:
+        """Return the other region with the most free slots, if one may run the key.
 
-        A small one next to it would be filled within a second by what a large one lost.
-        Keys that do not run near their callers need none: they are spread by the slots
-        that there are, so all regions are as full.
+        The nearest region may be small, and requests that spill from a large region
+        would fill it within a second. Keys that do not run near their callers do not
+        spill: they are spread in proportion to slots, so all regions are equally full.
         """
         free = {
             name: slots * (1 - (self.loads.busy(key.service, name, now) or 0.0))
@@ -216,24 +231,24 @@
         return [Elsewhere(name, self.distance(name))]
 
     def _weight_key(self, call: Call) -> WeightKey:
-        """Return which weights give a request's key its region."""
-        near = runs_near(call.route, self.round_trip_seconds)
-        return WeightKey(call.service, call.home_regions, near)
+        """Return the key of the weights that assign a request to a region."""
+        prefers_local = runs_near(call.route, self.round_trip_seconds)
+        return WeightKey(call.service, call.home_regions, prefers_local)
 
-    def _cold_rate(self, service: str) -> float:
-        """Return what a cold server of a service bears, in requests a second."""
+    def _cold_requests_per_second(self, service: str) -> float:
+        """Return the request rate limit of a cold server of a service, per second."""
         routes = self.view.routes
         policy = routes.services.get(service) if routes is not None else None
         return policy.cold_requests_per_second if policy else 0.0
 
 
-def _key_of(call: Call) -> str:
-    """Return what decides the region of a request."""
+def _placement_key(call: Call) -> str:
+    """Return the key that is hashed to choose a request's region."""
     return call.key or call.request_id
 
 
 def read_load(text: str | None) -> Load | None:
-    """Return what a server says of its load, or None where it says nothing."""
+    """Parse a server's load report; return None if there is none or it is invalid."""
     if text is None:
         return None
     parts = text.split(",")
--- a/packages/node/greengagepoint_node/gateway/quarantine_page.py
+++ b/packages/node/greengagepoint_node/gateway/quarantine_page.py
@@ -1,4 +1,4 @@
-"""Show operators which requests are refused, and let them lift that."""
+"""Show operators which requests are suspected, and let them clear requests."""
 
 from typing import Any, Final
 
@@ -28,7 +28,7 @@
         return web.Response(status=404)
 
     def _rows(self) -> list[dict[str, Any]]:
-        """Return each suspected request with what is held against it."""
+        """Return each suspected request with the crashes that count against it."""
         now = self.quarantine.clock.monotonic()
         table = self.quarantine.table
         return [
--- a/packages/node/greengagepoint_node/gateway/quarantine_store.py
+++ b/packages/node/greengagepoint_node/gateway/quarantine_store.py
@@ -17,36 +17,40 @@
 )
 from greengagepoint_node.gateway.quarantine_sync import QuarantineSync
 
-LOOK_SECONDS: Final = 0.25
-# So many hosts keep an entry; each later one steps in where those before it did not.
-WRITERS: Final = 3
-STEP_IN_SECONDS: Final = 0.75
-# A request that may still be tried is mostly answered, and so cleared, within this.
-UNDECIDED_SECONDS: Final = 1.0
-# Of one write; a caller with thousands of such requests fills one a look.
-ENTRIES_MAX: Final = 16
-STORED_MAX: Final = 512
-# An entry outlasts the refusal, so that after a restart of all hosts a single end is
-# enough to refuse the request again.
-KEEP_SECONDS: Final = 300.0
+POLL_SECONDS: Final = 0.25
+# Hosts that may write an entry, in rank order; each takes over if those before it did
+# not write.
+WRITERS_PER_ENTRY: Final = 3
+TAKEOVER_SECONDS: Final = 0.75
+# A suspected request that may still be tried is mostly answered, and so cleared,
+# within this time.
+TRIAL_OUTCOME_SECONDS: Final = 1.0
+# Entries of one write. A caller with thousands of such requests fills one write at
+# each poll.
+WRITTEN_ENTRIES_MAX: Final = 16
+STORED_ENTRIES_MAX: Final = 512
+# An entry outlasts the quarantine, so that after a restart of all hosts a single crash
+# is enough to quarantine the request again.
+RETENTION_SECONDS: Final = 300.0
 LEASE_SECONDS_MAX: Final = 600.0
-# What an entry may lack of the whole time before it is written again.
-SLACK_SECONDS: Final = 5.0
-PAUSE_MAX_SECONDS: Final = 2.0
+# An entry is rewritten if its quarantine ends earlier than here by more than this.
+REWRITE_SLACK_SECONDS: Final = 5.0
+RETRY_PAUSE_MAX_SECONDS: Final = 2.0
 
 
-class Stored(NamedTuple):
-    """An entry of the store, until when it refuses, and is kept; monotonic seconds."""
+class StoredEntry(NamedTuple):
+    """An entry of the store, and the monotonic times of its quarantine and expiry."""
 
     entry: QuarantineEntry
-    refused_until: float
-    kept_until: float
+    quarantined_until: float
+    retained_until: float
 
 
 class QuarantineStore:
-    """Write what is held and remove what is cleared, a few hosts for each request.
+    """Write suspected requests to the store, and remove cleared ones.
 
-    ``hosts`` are the names of those that serve.
+    A few hosts are responsible for each request. ``hosts`` returns the names of the
+    serving hosts.
     """
 
     def __init__(
@@ -63,41 +67,44 @@
         self.host = host
         self.hosts = hosts
         self.events = events
-        self.stored: dict[str, Stored] = {}
+        self.stored: dict[str, StoredEntry] = {}
         self.due_at: dict[str, float] = {}
         self.failures = 0
 
     def take(self, entry: QuarantineEntry) -> None:
-        """Take in an entry of the store."""
+        """Apply an entry of the store."""
         now = self.quarantine.clock.monotonic()
-        self._note_stored(entry, now)
+        self._record_stored(entry, now)
         self.sync.take([SharedSuspect(entry.content, entry.ends)])
 
     def drop(self, entry: QuarantineEntry) -> None:
-        """Take in that an entry has lapsed or was removed.
+        """Handle an entry that expired or was removed from the store.
 
-        What this host holds against the request stays: the lease may have ended in an
-        outage.
+        The crashes known to this host stay: the lease may have expired in an outage.
         """
         self.stored.pop(entry.content, None)
 
     async def async_run(self) -> None:
-        """Keep the store's entries until cancelled."""
+        """Keep the store's entries up to date until cancelled."""
         while True:
             try:
                 await self._async_step()
                 self.failures = 0
-                await asyncio.sleep(LOOK_SECONDS)
+                await asyncio.sleep(POLL_SECONDS)
             except (StoreError, LeaseLostError) as error:
                 self.failures += 1
                 self.events.record(Event.QUARANTINE_NOT_STORED, detail=str(error))
-                await asyncio.sleep(pause_seconds(self.failures, PAUSE_MAX_SECONDS))
+                await asyncio.sleep(
+                    pause_seconds(self.failures, RETRY_PAUSE_MAX_SECONDS)
+                )
 
     async def _async_step(self) -> None:
-        """Write and remove what is this host's turn."""
+        """Write and remove the entries that are due at this host."""
         now = self.quarantine.clock.monotonic()
         self.stored = {
-            content: row for content, row in self.stored.items() if row.kept_until > now
+            content: row
+            for content, row in self.stored.items()
+            if row.retained_until > now
         }
         held = self.quarantine.table.held(now)
         missing = [row for row in held if self._is_missing(row, held[row], now)]
@@ -106,7 +113,8 @@
             row: now + self._delay(row, held.get(row, 0.0))
             for row in (*missing, *cleared)
         }
-        # What is decided meanwhile is due at once, though it was left to be decided.
+        # The earlier due time wins: a request that was quarantined after its wait for a
+        # trial's outcome began is due at once.
         self.due_at = {
             row: min(at, self.due_at.get(row, at)) for row, at in due_at.items()
         }
@@ -114,38 +122,39 @@
         await self._async_remove(self._due(cleared, now))
 
     def _is_missing(self, content: str, seconds: float, now: float) -> bool:
-        """Tell whether the store does not refuse a request for as long as this host."""
+        """Return True if a request needs an entry, or its entry ends too early."""
         row = self.stored.get(content)
         if row is None:
-            return len(self.stored) < STORED_MAX
-        return row.refused_until + SLACK_SECONDS < now + seconds
+            return len(self.stored) < STORED_ENTRIES_MAX
+        return row.quarantined_until + REWRITE_SLACK_SECONDS < now + seconds
 
-    def _delay(self, content: str, refused_seconds: float) -> float:
-        """Return how long this host leaves a request to others, or undecided."""
-        undecided = 0.0 if refused_seconds else UNDECIDED_SECONDS
-        return undecided + self._turn(content) * STEP_IN_SECONDS
+    def _delay(self, content: str, quarantine_seconds: float) -> float:
+        """Return the wait for other hosts, and for a trial's outcome, in seconds."""
+        outcome_delay = 0.0 if quarantine_seconds else TRIAL_OUTCOME_SECONDS
+        return outcome_delay + self._writer_position(content) * TAKEOVER_SECONDS
 
-    def _turn(self, content: str) -> int:
-        """Return how many hosts come before this one for a request."""
+    def _writer_position(self, content: str) -> int:
+        """Return how many hosts rank before this one as writers of a request."""
         return rank(content, {self.host, *self.hosts()}).index(self.host)
 
     def _due(self, contents: list[str], now: float) -> list[str]:
-        """Return those of some contents whose turn at this host has come."""
+        """Return the contents that are due at this host now."""
         rows = [
             content
             for content in contents
-            if self.due_at[content] <= now and self._turn(content) < WRITERS
+            if self.due_at[content] <= now
+            and self._writer_position(content) < WRITERS_PER_ENTRY
         ]
-        return rows[:ENTRIES_MAX]
+        return rows[:WRITTEN_ENTRIES_MAX]
 
     async def _async_write(
         self, contents: list[str], held: dict[str, float], now: float
     ) -> None:
-        """Write what is held against requests."""
+        """Write requests with the crashes that count against them."""
         if not contents:
             return
-        longest = max(held[content] for content in contents)
-        seconds = min(LEASE_SECONDS_MAX, longest + KEEP_SECONDS)
+        max_quarantine_seconds = max(held[content] for content in contents)
+        seconds = min(LEASE_SECONDS_MAX, max_quarantine_seconds + RETENTION_SECONDS)
         lease = await self.store.async_grant_lease(seconds)
         entries = [
             QuarantineEntry(
@@ -157,17 +166,17 @@
         ]
         await self.store.async_put(entries, lease)
         for entry in entries:
-            self._note_stored(entry, now)
+            self._record_stored(entry, now)
 
-    def _note_stored(self, entry: QuarantineEntry, now: float) -> None:
-        """Keep what the store holds of a request."""
-        refused_until = now + entry.seconds
-        self.stored[entry.content] = Stored(
-            entry, refused_until, refused_until + KEEP_SECONDS
+    def _record_stored(self, entry: QuarantineEntry, now: float) -> None:
+        """Record an entry that the store holds."""
+        quarantined_until = now + entry.seconds
+        self.stored[entry.content] = StoredEntry(
+            entry, quarantined_until, quarantined_until + RETENTION_SECONDS
         )
 
     async def _async_remove(self, contents: list[str]) -> None:
-        """Remove requests that are refused no more."""
+        """Remove the entries of cleared requests."""
         if not contents:
             return
         await self.store.async_remove([self.stored[row].entry for row in contents])
--- a/packages/node/greengagepoint_node/gateway/quarantine_sync.py
+++ b/packages/node/greengagepoint_node/gateway/quarantine_sync.py
@@ -1,4 +1,4 @@
-"""Tell peers at once of requests that end backend servers."""
+"""Send peers updates about requests that crash backend servers."""
 
 import asyncio
 from collections import Counter
@@ -16,28 +16,29 @@
 from greengagepoint_node.gateway.request_quarantine import RequestQuarantine
 
 QUARANTINE_PATH: Final = "/v1/quarantine"
-# Each host passes news on to so many others, once. That reaches nearly all of a fleet,
-# and the rest hears of it by an exchange of tables.
+# Each host forwards an update once, to this many peers. That reaches nearly all hosts
+# of a fleet; the others get it by an exchange of tables.
 FANOUT: Final = 4
-SEND_SECONDS: Final = 0.6
-# A server ends with many requests in flight; they are told together.
-GATHER_SECONDS: Final = 0.02
-# What is sent at once stays under 16 KB, and twenty times a second at most.
+SEND_TIMEOUT_SECONDS: Final = 0.6
+# A server crashes with many requests in flight; they are sent together.
+BATCH_SECONDS: Final = 0.02
+# A message stays under 16 KB, and at most twenty are sent a second.
 ROWS_MAX: Final = 32
-PAUSE_SECONDS: Final = 0.05
-# A lost zone leaves hundreds of requests with one end each, of which most are answered
-# next. So many in one message are not passed on.
-FEW_ROWS: Final = 4
-# Beside what is refused, an exchange of tables tells the news of this time.
+SEND_INTERVAL_SECONDS: Final = 0.05
+# A lost zone leaves hundreds of requests with one crash each, most of which are
+# answered next. From a message with more rows than this, requests with a single crash
+# are not forwarded.
+SINGLE_CRASH_ROWS_MAX: Final = 4
+# An exchange of tables holds restricted requests, and those changed in this time.
 RECENT_SECONDS: Final = 5.0
-EXCHANGED_MAX: Final = 16
+EXCHANGED_ROWS_MAX: Final = 16
 
 encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.Decoder(list[SharedSuspect]).decode
 
 
 class QuarantineSync:
-    """Pass news of suspected requests on to a few peers, who do the same."""
+    """Forward updates of suspected requests to a few peers, which do the same."""
 
     def __init__(
         self,
@@ -56,31 +57,31 @@
         self.transferred = transferred
         self.pending: dict[str, None] = {}
         self.wake = asyncio.Event()
-        self.sends: set[asyncio.Task[None]] = set()
+        self.send_tasks: set[asyncio.Task[None]] = set()
 
     def notify(self, contents: list[str]) -> None:
-        """Tell peers soon what is known of some contents."""
+        """Schedule an update about some contents to peers."""
         self.pending.update(dict.fromkeys(contents))
         self.wake.set()
 
     def shared(self) -> list[SharedSuspect]:
-        """Return what a peer may have missed."""
+        """Return the requests that a peer may have missed."""
         table = self.quarantine.table
         now = self.quarantine.clock.monotonic()
-        return table.shared(table.recent(EXCHANGED_MAX, RECENT_SECONDS, now), now)
+        return table.shared(table.recent(EXCHANGED_ROWS_MAX, RECENT_SECONDS, now), now)
 
     async def async_run(self) -> None:
-        """Send until cancelled."""
+        """Send pending updates until cancelled."""
         while True:
             await self.wake.wait()
-            await asyncio.sleep(GATHER_SECONDS)
-            self._send_some()
+            await asyncio.sleep(BATCH_SECONDS)
+            self._send_batch()
             if not self.pending:
                 self.wake.clear()
-            await asyncio.sleep(PAUSE_SECONDS)
+            await asyncio.sleep(SEND_INTERVAL_SECONDS)
 
-    async def async_take(self, request: web.BaseRequest) -> web.Response:
-        """Take in what a peer tells, and pass on what was news."""
+    async def async_receive(self, request: web.BaseRequest) -> web.Response:
+        """Handle a peer's update, and forward what changed here."""
         body = await request.read()
         self.transferred["quarantine", "received"] += len(body)
         try:
@@ -92,32 +93,32 @@
         return web.Response(status=204)
 
     def take(self, rows: list[SharedSuspect]) -> None:
-        """Merge what a peer knows, and pass on what was news."""
+        """Merge a peer's state, and forward what changed here."""
         table = self.quarantine.table
         changed = table.merge(rows, self.quarantine.clock.monotonic())
-        if len(rows) > FEW_ROWS:
+        if len(rows) > SINGLE_CRASH_ROWS_MAX:
             changed = [row for row in changed if len(table.suspects[row].ends) > 1]
         if changed:
-            self.quarantine.changed(changed)
+            self.quarantine.announce_changes(changed)
 
-    def _send_some(self) -> None:
-        """Send the contents with most against them to a few peers."""
+    def _send_batch(self) -> None:
+        """Send the contents with the most crashes to a few peers."""
         table = self.quarantine.table
-        known = [content for content in self.pending if content in table.suspects]
-        known.sort(key=lambda row: -len(table.suspects[row].unsettled()))
-        chosen, rest = known[:ROWS_MAX], known[ROWS_MAX:]
+        suspected = [content for content in self.pending if content in table.suspects]
+        suspected.sort(key=lambda row: -len(table.suspects[row].unsettled()))
+        chosen, rest = suspected[:ROWS_MAX], suspected[ROWS_MAX:]
         self.pending = dict.fromkeys(rest)
         if not chosen:
             return
         now = self.quarantine.clock.monotonic()
         body = encode(table.shared(chosen, now))
-        for address in self._some_peers():
+        for address in self._choose_peers():
             task = asyncio.create_task(self._async_send(address, body))
-            self.sends.add(task)
-            task.add_done_callback(self.sends.discard)
+            self.send_tasks.add(task)
+            task.add_done_callback(self.send_tasks.discard)
 
-    def _some_peers(self) -> list[str]:
-        """Return a few peers at random."""
+    def _choose_peers(self) -> list[str]:
+        """Return up to ``FANOUT`` peers at random."""
         peers = self.peers()
         chosen = []
         while peers and len(chosen) < FANOUT:
@@ -125,11 +126,11 @@
         return chosen
 
     async def _async_send(self, address: str, body: bytes) -> None:
-        """Send to one peer; one that can't be reached hears of it by an exchange."""
+        """Send to one peer; an unreachable peer gets the update by an exchange."""
         self.transferred["quarantine", "sent"] += len(body)
         url = f"http://{address}{QUARANTINE_PATH}"
         try:
-            async with asyncio.timeout(SEND_SECONDS):
+            async with asyncio.timeout(SEND_TIMEOUT_SECONDS):
                 async with self.session.post(url, data=body) as answer:
                     await answer.read()
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
--- a/packages/node/greengagepoint_node/gateway/region_weights.py
+++ b/packages/node/greengagepoint_node/gateway/region_weights.py
@@ -1,4 +1,4 @@
-"""Keep which part of the keys of each service runs in which region."""
+"""Keep the share of each service's keys that runs in each region."""
 
 from typing import Final, NamedTuple
 
@@ -13,24 +13,24 @@
 from greengagepoint.placing.tables import ServerTable
 from greengagepoint_node.context import EventSink
 
-LOGGED_CHANGE: Final = 0.1
-# After a pause the weights move on as after one second, not all at once.
-TICK_SECONDS_MAX: Final = 1.0
+LOGGED_CHANGE_MIN: Final = 0.1
+# After a longer pause the weights move as far as in one second, not all at once.
+ELAPSED_SECONDS_MAX: Final = 1.0
 
 
 class WeightKey(NamedTuple):
-    """A service, and the regions in which its requests have to stay; none means any.
+    """A service and the regions to which its requests are restricted, empty for any.
 
-    ``near`` requests run in the callers' own region where they can.
+    ``prefers_local`` requests run in the callers' own region if possible.
     """
 
     service: str
-    homes: frozenset[str]
-    near: bool = False
+    home_regions: frozenset[str]
+    prefers_local: bool = False
 
 
 class RegionWeights:
-    """Move the weights slowly toward what the servers ask for."""
+    """Move the weights of regions gradually toward the slots of their servers."""
 
     def __init__(
         self, home: str, regions: int, servers: ServerTable, events: EventSink
@@ -40,63 +40,65 @@
         self.servers = servers
         self.events = events
         self.weights: dict[WeightKey, Weights] = {}
-        self.logged: dict[WeightKey, Weights] = {}
+        self.logged_weights: dict[WeightKey, Weights] = {}
         self.ticked_at: float | None = None
 
     def current(self, key: WeightKey) -> Weights:
-        """Return the weights by which keys are given to regions now."""
+        """Return the current weights by which keys are assigned to regions."""
         found = self.weights.get(key)
         if not found:
-            found = self._wanted(key, self.slots(key))
+            found = self._target_weights(key, self.slots(key))
             self.weights[key] = found
         return found
 
     def tick(self, now: float) -> None:
-        """Move all weights."""
+        """Move all weights one step toward their targets."""
         elapsed = now - self.ticked_at if self.ticked_at is not None else 0.0
         self.ticked_at = now
-        most = CHANGE_PER_SECOND * min(elapsed, TICK_SECONDS_MAX)
+        max_change = CHANGE_PER_SECOND * min(elapsed, ELAPSED_SECONDS_MAX)
         for key, weights in list(self.weights.items()):
             slots = self.slots(key)
-            # A region without servers can't run anything, so its part moves at once.
-            possible = {name: part for name, part in weights.items() if name in slots}
-            wanted = self._wanted(key, slots)
-            moved = moved_toward(wanted_weights(possible), wanted, most)
-            self.weights[key] = moved
-            self._log(key, moved, slots)
+            # A region without servers can't run requests, so its share moves at once.
+            with_servers = {
+                name: weight for name, weight in weights.items() if name in slots
+            }
+            target = self._target_weights(key, slots)
+            updated = moved_toward(wanted_weights(with_servers), target, max_change)
+            self.weights[key] = updated
+            self._log(key, updated, slots)
 
-    def _wanted(self, key: WeightKey, slots: dict[str, float]) -> Weights:
-        """Return the weights that the servers ask for."""
-        if not key.near:
+    def _target_weights(self, key: WeightKey, slots: dict[str, float]) -> Weights:
+        """Return the weights that match the current slots of servers."""
+        if not key.prefers_local:
             return wanted_weights(slots)
         return near_weights(slots, self.home, self.regions)
 
     def slots(self, key: WeightKey) -> dict[str, float]:
-        """Return the slots by region that requests may use."""
+        """Return the slots in each region that requests may use."""
         return {
             region: float(self.servers.find(key.service, region).slots)
             for region in self.servers.regions_of(key.service)
-            if not key.homes or region in key.homes
+            if not key.home_regions or region in key.home_regions
         }
 
-    def _log(self, key: WeightKey, moved: Weights, slots: dict[str, float]) -> None:
-        """Tell of weights that have changed much."""
-        logged = self.logged.get(key, {})
+    def _log(self, key: WeightKey, updated: Weights, slots: dict[str, float]) -> None:
+        """Log weights that changed by at least ``LOGGED_CHANGE_MIN``."""
+        logged_weights = self.logged_weights.get(key, {})
         change = max(
             (
-                abs(moved.get(name, 0.0) - logged.get(name, 0.0))
-                for name in {*moved, *logged}
+                abs(updated.get(name, 0.0) - logged_weights.get(name, 0.0))
+                for name in {*updated, *logged_weights}
             ),
             default=0.0,
         )
-        if change < LOGGED_CHANGE:
+        if change < LOGGED_CHANGE_MIN:
             return
-        self.logged[key] = moved
+        self.logged_weights[key] = updated
         self.events.record(
             Event.SPILL_CHANGED,
             service=key.service,
-            homes=sorted(key.homes),
-            near=key.near,
-            weights={name: round(part, 3) for name, part in moved.items()},
+            homes=sorted(key.home_regions),
+            near=key.prefers_local,
+            weights={name: round(weight, 3) for name, weight in updated.items()},
             slots=slots,
         )
--- a/packages/node/greengagepoint_node/gateway/settings.py
+++ b/packages/node/greengagepoint_node/gateway/settings.py
@@ -1,4 +1,4 @@
-"""What the request path by host and path prefix is told at start."""
+"""Settings of the request path by host and path prefix."""
 
 from typing import Final, NamedTuple
 
@@ -11,18 +11,19 @@
 
 
 class GatewaySettings(NamedTuple):
-    """Addresses are host:port; ``zones`` maps each zone to its region.
+    """Settings of one host.
+
+    Addresses are host:port; ``zones`` maps each zone to its region.
 
     ``retry_ratio`` and ``retry_slack`` bound the retries of all hosts together in any
-    ``retry_window_seconds``.
-    ``stop_seconds`` is what a graceful stop may take. Metrics are served where
-    ``metrics_address`` names an address. ``link_mbps`` is what the host's link carries,
-    0 where that is not known. Backend servers renew their entries each
-    ``heartbeat_seconds``; one that has said that it leaves may get requests for
-    ``drain_seconds`` more. An account's key that was taken away may work for
-    ``revoke_seconds`` more, also on a host that hears of nothing; where that is None,
-    such a host goes on serving all keys that it knows. ``limit_bounds`` tell how
-    closely accounts have to keep their limits.
+    ``retry_window_seconds``. ``stop_seconds`` is the time limit of a graceful stop.
+    Metrics are served if ``metrics_address`` is set. ``link_mbps`` is the capacity of
+    the host's link, 0 if unknown. Backend servers renew their entries every
+    ``heartbeat_seconds``; a draining server may get requests for another
+    ``drain_seconds``. A revoked account key may work for another ``revoke_seconds``,
+    also on a host that gets no updates; if that is None, such a host keeps serving all
+    keys that it has. ``limit_bounds`` are the bounds on how far accounts may exceed
+    their limits.
     """
 
     host: str
--- a/packages/node/greengagepoint_node/gateway/settings_reload.py
+++ b/packages/node/greengagepoint_node/gateway/settings_reload.py
@@ -1,4 +1,4 @@
-"""Read the settings again while the daemon runs."""
+"""Reload the settings while the daemon runs."""
 
 import asyncio
 import signal
@@ -11,12 +11,12 @@
 from greengagepoint_node.context import EventSink
 from greengagepoint_node.gateway.settings import GatewaySettings
 
-# The file may be written without a signal.
-LOOK_SECONDS: Final = 1.0
+# The file is polled too, because it may be written without a signal.
+CHECK_SECONDS: Final = 1.0
 
 
 class SettingsReload:
-    """Read the settings again on a signal, or when their file has changed.
+    """Reload the settings on a signal, or when their file has changed.
 
     ``read`` raises SettingError; ``apply`` returns the names of the settings that need
     a restart.
@@ -33,18 +33,18 @@
         self.read = read
         self.apply = apply
         self.events = events
-        self.changed_at = self._changed_at()
+        self.modified_at = self._read_modified_at()
 
     async def async_watch(self) -> None:
-        """Look after the file until cancelled."""
+        """Poll the file for changes until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
-            if self._changed_at() != self.changed_at:
+            await asyncio.sleep(CHECK_SECONDS)
+            if self._read_modified_at() != self.modified_at:
                 self.run()
 
     def run(self) -> None:
-        """Apply the settings that can be; a bad file leaves all as it was."""
-        self.changed_at = self._changed_at()
+        """Reload and apply the settings; an invalid file changes nothing."""
+        self.modified_at = self._read_modified_at()
         try:
             settings = self.read()
         except SettingError as error:
@@ -52,20 +52,22 @@
                 Event.SETTINGS_RELOADED, accepted=False, detail=error.detail
             )
             return
-        kept = self.apply(settings)
-        self.events.record(Event.SETTINGS_RELOADED, accepted=True, need_restart=kept)
+        restart_needed = self.apply(settings)
+        self.events.record(
+            Event.SETTINGS_RELOADED, accepted=True, need_restart=restart_needed
+        )
 
-    def _changed_at(self) -> int:
-        """Return when the file was written last, or 0 where it is missing."""
+    def _read_modified_at(self) -> int:
+        """Return the file's modification time in nanoseconds, or 0 if it is missing."""
         try:
             return self.path.stat().st_mtime_ns
         except OSError:
-            # Reading it again will say what is wrong.
+            # Reloading the file reports the error.
             return 0
 
 
 def handle_signals(*, stop: Callable[[], None], reload: Callable[[], None]) -> None:
-    """Let the running loop stop on SIGTERM and SIGINT, and reload on SIGHUP."""
+    """Call ``stop`` on SIGTERM and SIGINT, and ``reload`` on SIGHUP."""
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop)
--- a/packages/node/tests/test_gateway_incarnations.py
+++ b/packages/node/tests/test_gateway_incarnations.py
@@ -199,13 +199,16 @@
     fleet = started()
     placer = placer_of(fleet)
     older = fleet.servers.servers["i-1"]
-    asked = [placer.cold.may_send(older.incarnation, 16, ["h1"], NOW) for _ in range(3)]
+    asked = [
+        placer.cold_starts.may_send(older.incarnation, 16, ["h1"], NOW)
+        for _ in range(3)
+    ]
     tell(fleet, write(3, 200))
     newer = fleet.servers.servers["i-1"]
     assert asked == [True, False, False]
-    assert placer.cold.may_send(newer.incarnation, 16, ["h1"], NOW)
+    assert placer.cold_starts.may_send(newer.incarnation, 16, ["h1"], NOW)
     placer.tick(NOW)
-    assert set(placer.cold.buckets) == {newer.incarnation}
+    assert set(placer.cold_starts.buckets) == {newer.incarnation}
 
 
 def test_a_key_stays_on_the_id_that_it_had():
--- a/packages/node/tests/test_gateway_quarantine_news.py
+++ b/packages/node/tests/test_gateway_quarantine_news.py
@@ -21,11 +21,11 @@
 )
 from greengagepoint_node.gateway.gossip import PERIOD_SECONDS
 from greengagepoint_node.gateway.quarantine_store import (
-    ENTRIES_MAX,
-    KEEP_SECONDS,
-    STEP_IN_SECONDS,
-    UNDECIDED_SECONDS,
-    WRITERS,
+    RETENTION_SECONDS,
+    TAKEOVER_SECONDS,
+    TRIAL_OUTCOME_SECONDS,
+    WRITERS_PER_ENTRY,
+    WRITTEN_ENTRIES_MAX,
     QuarantineStore,
 )
 from greengagepoint_node.gateway.quarantine_sync import (
@@ -103,7 +103,7 @@
         """Let all hosts send until nobody has anything left to tell."""
         for _ in range(40):
             for sync in self.syncs.values():
-                sync._send_some()
+                sync._send_batch()
             await asyncio.sleep(0)
             await asyncio.sleep(0)
 
@@ -138,7 +138,7 @@
         network.end("h0", 0, Fingerprint(f"{number:032}", "caller"))
     for number in range(3):
         network.end("h0", number)
-    network.syncs["h0"]._send_some()
+    network.syncs["h0"]._send_batch()
     await asyncio.sleep(0)
     assert network.refusing() == 2
     assert len(network.syncs["h1"].quarantine.table.suspects) == ROWS_MAX
@@ -223,11 +223,11 @@
     keepers = Keepers()
     await keepers.async_refused()
     for _ in range(4):
-        await keepers.async_step(STEP_IN_SECONDS)
+        await keepers.async_step(TAKEOVER_SECONDS)
     assert list(keepers.store.entries) == [FATAL.content]
     assert keepers.store.calls == 2
     assert keepers.store.leases == [
-        pytest.approx(QUARANTINE_SECONDS[0] + KEEP_SECONDS, abs=1.0)
+        pytest.approx(QUARANTINE_SECONDS[0] + RETENTION_SECONDS, abs=1.0)
     ]
 
 
@@ -235,13 +235,13 @@
     keepers = Keepers()
     await keepers.async_refused()
     order = sorted(
-        keepers.hosts, key=lambda name: keepers.keepers[name]._turn("f" * 32)
+        keepers.hosts, key=lambda name: keepers.keepers[name]._writer_position("f" * 32)
     )
     # The first two are alive for the others, but do not write.
-    for name in order[: WRITERS - 1]:
+    for name in order[: WRITERS_PER_ENTRY - 1]:
         keepers.keepers[name]._async_step = lambda: asyncio.sleep(0)
-    for _ in range(WRITERS + 1):
-        await keepers.async_step(STEP_IN_SECONDS)
+    for _ in range(WRITERS_PER_ENTRY + 1):
+        await keepers.async_step(TAKEOVER_SECONDS)
     assert list(keepers.store.entries) == [FATAL.content]
 
 
@@ -250,7 +250,7 @@
     keepers.store.away = True
     await keepers.async_refused()
     for _ in range(4):
-        await keepers.async_step(STEP_IN_SECONDS)
+        await keepers.async_step(TAKEOVER_SECONDS)
     assert not keepers.store.entries
     keepers.store.away = False
     await keepers.async_step()
@@ -275,7 +275,7 @@
     assert keepers.network.syncs["h3"].quarantine.lift(FATAL.content)
     await keepers.network.async_settle()
     for _ in range(4):
-        await keepers.async_step(STEP_IN_SECONDS)
+        await keepers.async_step(TAKEOVER_SECONDS)
     assert not keepers.store.entries
     assert keepers.network.refusing() == 0
 
@@ -288,7 +288,7 @@
     await keepers.async_step()
     assert not keepers.store.entries
     for _ in range(3):
-        await keepers.async_step(UNDECIDED_SECONDS)
+        await keepers.async_step(TRIAL_OUTCOME_SECONDS)
     assert list(keepers.store.entries) == [FATAL.content]
 
 
@@ -309,11 +309,11 @@
     keepers.hosts = ["h0"]
     for server in range(3):
         keepers.network.clock.ahead += 2.0
-        for number in range(10 * ENTRIES_MAX):
+        for number in range(10 * WRITTEN_ENTRIES_MAX):
             fingerprint = Fingerprint(f"{number:032}", "caller")
             keepers.network.end("h0", 3 * number + server, fingerprint)
     await keepers.async_step()
-    assert len(keepers.store.entries) == ENTRIES_MAX
+    assert len(keepers.store.entries) == WRITTEN_ENTRIES_MAX
     assert keepers.store.calls == 2
 
 
