--- a/packages/node/tests/test_gateway_incarnations.py
+++ b/packages/node/tests/test_gateway_incarnations.py
@@ -1,7 +1,7 @@
-"""What a host believes of a server that starts again under its id.
+"""A host's view of a server that restarts under its id.
 
-The newer run holds and knows nothing of the older one. Whatever still comes of the
-older one, in whatever order, must change nothing of the newer.
+The newer incarnation has no state of the older one. Late messages about the older
+one, in any order, must not change the newer one.
 """
 
 import random
@@ -46,10 +46,10 @@
 
 
 @pytest.mark.parametrize("address", [HERE, THERE])
-def test_a_newer_run_begins_clean_and_as_its_entry_says(address):
-    # A server crashes and starts again under its id. Its host holds failures, a full
-    # load and a key's runs of the former run; with these the new run would get nothing,
-    # or too much while it is cold.
+def test_a_newer_incarnation_starts_with_a_clean_state(address):
+    # A server crashes and restarts under its id. The host holds failures, a full load
+    # and warm keys of the older incarnation. With these the new incarnation would get
+    # no requests, or too many while it is cold.
     fleet = started()
     older = fleet.servers.servers["i-1"]
     older.in_flight = 3
@@ -64,10 +64,12 @@
     assert older.in_flight == 3
 
 
-@pytest.mark.parametrize("born", [(100, 200), (0, 0)], ids=["told", "not told"])
-def test_a_server_that_said_it_leaves_and_starts_again_ready_gets_work_again(born):
-    # A server is drained, exits and is started again under its id. Taken for leaving
-    # still, it would idle for the rest of its time.
+@pytest.mark.parametrize(
+    "born", [(100, 200), (0, 0)], ids=["with start times", "without start times"]
+)
+def test_a_drained_server_gets_requests_after_a_restart(born):
+    # A server is drained, exits and restarts under its id. If it still counted as
+    # draining, it would get no requests for as long as it runs.
     fleet = started(born[0], state="draining")
     assert members(fleet) == set()
     tell(fleet, write(3, born[1]))
@@ -75,7 +77,7 @@
     assert not fleet.servers.leaving
 
 
-def test_an_address_of_its_own_is_a_run_of_its_own_where_born_is_not_told():
+def test_a_new_address_is_a_new_incarnation_without_a_start_time():
     fleet = started(0)
     suspicion.note_failure(fleet.servers.servers["i-1"], NOW)
     tell(fleet, write(3, 0, THERE))
@@ -83,7 +85,7 @@
     assert fleet.servers.servers["i-1"].failures == 0
 
 
-def test_the_same_run_keeps_what_is_known_of_it():
+def test_an_update_of_the_same_incarnation_keeps_its_state():
     fleet = started()
     before = fleet.servers.servers["i-1"]
     tell(fleet, write(3, 100, cold=1))
@@ -102,12 +104,21 @@
         ((bad(2),), ()),
         ((write(4, 100, THERE), RemovedKey("i-1", 2)), ()),
     ],
-    ids=["late write", "late drain", "old news", "removal", "lapse", "bad", "both"],
+    ids=[
+        "late write",
+        "late drain",
+        "older revision",
+        "removal",
+        "expiry",
+        "invalid",
+        "write and removal",
+    ],
 )
-def test_what_still_comes_from_the_older_run_changes_nothing(changes, lapsed):
-    # A server was started again. A write of its former run, a lapse of its former entry
-    # or news of a peer that is behind comes only now. Believed, it would take the new
-    # run out, or send callers to where nothing listens any more.
+def test_late_changes_of_the_older_incarnation_are_ignored(changes, lapsed):
+    # A server was restarted. A write of its older incarnation, the expiry of its older
+    # entry or an update from a peer with older state arrives only now. If applied, it
+    # would remove the new incarnation, or send requests to an address where nothing
+    # listens any more.
     fleet = started()
     tell(fleet, write(3, 200))
     newer = fleet.servers.servers["i-1"]
@@ -117,9 +128,10 @@
     assert fleet.servers.servers["i-1"] is newer
 
 
-def test_a_lapsed_server_is_not_replaced_by_one_born_before_it():
-    # The store returns from an outage in which all entries lapsed. The former run's
-    # late write is there first; the new run lives and writes its entry a moment later.
+def test_an_expired_server_is_not_replaced_by_an_older_incarnation():
+    # The store returns from an outage in which all entries expired. A late write of the
+    # older incarnation arrives first; the newer one is alive and writes its entry a
+    # moment later.
     fleet = started()
     tell(fleet, write(3, 200))
     tell(fleet, RemovedKey("i-1", 4), lapsed=("i-1",))
@@ -130,9 +142,10 @@
     assert members(fleet) == {run(200)}
 
 
-def test_that_another_server_answers_at_its_former_address_is_not_held_against_it():
-    # The former run's address went to another server, which turned a request away. The
-    # host hears it when the new run has been taken in at its own address.
+def test_a_replaced_former_address_does_not_affect_the_newer_incarnation():
+    # The address of the older incarnation was given to another server, which rejected
+    # a request. The host learns of it after it has the new incarnation at its own
+    # address.
     fleet = started()
     tell(fleet, write(3, 200, THERE))
     fleet.note_replaced(run(100))
@@ -143,78 +156,87 @@
     assert members(fleet) == {run(300)}
 
 
-def host(name, fleet):
-    """Return a host's gossip, without a network."""
+def create_gossip(name, fleet):
+    """Return the gossip of a host without a network."""
     entry = HostEntry(name, "north", "zone-a", f"{name}:1", f"{name}:2")
-    own = HostState(entry, 1, 0, leaving=False)
-    return Gossip(own, fleet, [], SystemClock(), random.Random(1), Lines(), None)
-
-
-@pytest.mark.parametrize("behind", ["starts", "knows the older", "knows the newer"])
-def test_news_between_hosts_brings_all_to_the_newer_run(behind):
-    # A server starts again, and a late write of its older run is the last one that the
-    # store has. The hosts that saw it come tell one that has just started, one that has
-    # been cut off since the older run, and one that heard of the newer run only.
-    known = [StoredItem("op", b"", 1), write(2, 100), write(3, 200, THERE)]
-    late = write(4, 100)
-    teller, asker = started(), view()
-    tell(teller, *known, late)
-    tell(asker, *known[: {"starts": 0, "knows the older": 2}.get(behind, 3)])
-    one, other = host("h1", asker), host("h2", teller)
-    one.take_encoded(other.encoded(asker.revision))
-    assert asker.revision == 4
-    assert members(asker) == members(teller) == {run(200, THERE)}
-    other.take_encoded(one.encoded(0))
-    assert members(teller) == {run(200, THERE)}
-
-
-def placer_of(fleet):
+    own_state = HostState(entry, 1, 0, leaving=False)
+    return Gossip(own_state, fleet, [], SystemClock(), random.Random(1), Lines(), None)
+
+
+@pytest.mark.parametrize(
+    "receiver_state", ["empty", "older incarnation", "newer incarnation"]
+)
+def test_gossip_converges_on_the_newer_incarnation(receiver_state):
+    # A server restarts, and the store's last write of it is a late one of the older
+    # incarnation. A host that received all writes in order sends its state to a host
+    # that has just started, to one that has been partitioned since the older
+    # incarnation, and to one that has all but the late write.
+    store_items = [StoredItem("op", b"", 1), write(2, 100), write(3, 200, THERE)]
+    late_write = write(4, 100)
+    sender_view, receiver_view = started(), view()
+    tell(sender_view, *store_items, late_write)
+    tell(
+        receiver_view,
+        *store_items[: {"empty": 0, "older incarnation": 2}.get(receiver_state, 3)],
+    )
+    receiver, sender = (
+        create_gossip("h1", receiver_view),
+        create_gossip("h2", sender_view),
+    )
+    receiver.take_encoded(sender.encoded(receiver_view.revision))
+    assert receiver_view.revision == 4
+    assert members(receiver_view) == members(sender_view) == {run(200, THERE)}
+    sender.take_encoded(receiver.encoded(0))
+    assert members(sender_view) == {run(200, THERE)}
+
+
+def create_placer(fleet):
     weights = RegionWeights("north", 2, fleet.servers, Lines())
     return Placer("h1", "north", fleet, weights, 0.0, Lines())
 
 
 @pytest.mark.parametrize("verdict", Verdict)
-def test_how_a_try_at_the_older_run_ends_says_nothing_of_the_newer(verdict):
-    # A request is in flight at a server that crashes and starts again. Its end, a load
-    # report or a broken connection, comes when the new run is in force.
+def test_outcomes_at_the_older_incarnation_do_not_affect_the_newer(verdict):
+    # A request is in flight at a server that crashes and restarts. Its outcome, a load
+    # report or a broken connection, arrives when the new incarnation is active.
     fleet = started()
-    placer = placer_of(fleet)
+    placer = create_placer(fleet)
     older = fleet.servers.servers["i-1"]
     placer.warm_keys.note("k", older.incarnation, NOW)
     tell(fleet, write(3, 200))
     newer = fleet.servers.servers["i-1"]
-    clean = repr(newer)
+    clean_repr = repr(newer)
     placer.learn(CALL, older, Exchange(verdict, load="4,9,4"), 2.0, 0.0, NOW + 1)
     placer.suspect(older, verdict, NOW + 1)
-    assert repr(newer) == clean
+    assert repr(newer) == clean_repr
     assert members(fleet) == {run(200)}
     assert newer.incarnation not in placer.warm_keys.servers("k", NOW)
     placer.learn(CALL, newer, Exchange(verdict, load="1,0,4"), 2.0, 0.0, NOW + 1)
     assert newer.reported_at == NOW + 1
 
 
-def test_a_newer_run_has_a_cold_start_allowance_of_its_own():
-    # The older run's allowance is used up in the moment in which the server starts
-    # again. A caller who is refused for it could be served.
+def test_a_newer_incarnation_has_its_own_cold_start_allowance():
+    # The older incarnation's allowance is used up when the server restarts. A request
+    # rejected for that could be served by the new one.
     fleet = started()
-    placer = placer_of(fleet)
+    placer = create_placer(fleet)
     older = fleet.servers.servers["i-1"]
-    asked = [
+    allowed = [
         placer.cold_starts.may_send(older.incarnation, 16, ["h1"], NOW)
         for _ in range(3)
     ]
     tell(fleet, write(3, 200))
     newer = fleet.servers.servers["i-1"]
-    assert asked == [True, False, False]
+    assert allowed == [True, False, False]
     assert placer.cold_starts.may_send(newer.incarnation, 16, ["h1"], NOW)
     placer.tick(NOW)
     assert set(placer.cold_starts.buckets) == {newer.incarnation}
 
 
-def test_a_key_stays_on_the_id_that_it_had():
+def test_a_key_stays_on_its_instance_id_across_restarts():
     fleet = started()
     tell(fleet, *(write(3 + n, 100, key=f"i-{n + 2}") for n in range(5)))
-    ranks = placer_of(fleet).ranks
+    ranks = create_placer(fleet).ranks
     before = [
         ranks.rank(fleet.servers, "booking", "north", f"k{n}")[0].instance
         for n in range(50)
@@ -227,8 +249,8 @@
     assert {row.born for row in after} == {200}
 
 
-def test_a_writer_that_never_ends_is_kept_within_bounds():
-    # Another writer goes on to write ever older times of birth.
+def test_stored_writes_of_a_server_are_bounded():
+    # Another writer keeps writing entries with ever older start times.
     fleet = started(10_000)
     tell(fleet, *(write(3 + n, 9_000 - n, THERE) for n in range(200)))
     assert members(fleet) == {run(10_000)}
--- a/packages/node/tests/test_gateway_metrics.py
+++ b/packages/node/tests/test_gateway_metrics.py
@@ -1,4 +1,4 @@
-"""What a scrape tells of the request path, and what it must not cost."""
+"""What a metrics scrape reports of the request path, and the limits of its size."""
 
 import asyncio
 
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(
-    ("manner", "outcome", "verdict", "tries"),
+    ("manner", "outcome", "verdict", "attempts"),
     [
         (Manner.GOOD, ANSWERED, "answered", 1),
         (Manner.SHED, ErrorKind.BACKEND_SHED, "shed", 2),
@@ -52,7 +52,7 @@
         (Manner.FOREIGN, ErrorKind.BACKEND_PROTOCOL, "foreign", 2),
     ],
 )
-async def test_a_scrape_tells_how_requests_ended(manner, outcome, verdict, tries):
+async def test_a_scrape_reports_request_outcomes(manner, outcome, verdict, attempts):
     async with async_world(metrics=True) as world:
         for backend in world.backends:
             backend.manner = manner
@@ -64,15 +64,15 @@
         bucket = {**series, "le": "+Inf"}
         assert value(lines, "request_duration_seconds_bucket", **bucket) == 1
         found = value(lines, "tries_total", service="booking", verdict=verdict)
-        assert found == tries
+        assert found == attempts
         assert value(lines, "backend_servers") == 2
         assert value(lines, "configuration_version") == 1
         store = {"operation": "snapshot", "outcome": "ok"}
         assert value(lines, "store_calls_total", **store) == 1
 
 
-async def test_requests_without_a_route_are_counted_without_their_names():
-    # Anybody may send any path; a series for each would outgrow the host.
+async def test_requests_without_a_route_share_one_series():
+    # Callers may send any path; a series for each would exhaust the host's memory.
     async with async_world(metrics=True) as world:
         for number in range(3):
             await world.async_call(f"/hostile-{number}/")
@@ -83,7 +83,7 @@
 
 
 def test_labels_that_hold_quotes_and_line_breaks_are_escaped():
-    # Operators name routes; a raw line break would make the whole page unreadable.
+    # Operators name routes; a raw line break would make the whole page invalid.
     counters = GatewayCounters()
     counters.add_request("booking", 'a"b\\c\nd', ANSWERED, 0.1)
     page = MetricsPage(counters, lambda: Gauges(*[0] * len(Gauges._fields)))
@@ -107,9 +107,9 @@
 
 
 @pytest.mark.parametrize("kind", ["taken", "malformed"])
-async def test_an_unusable_address_is_told_and_keeps_nobody_from_being_served(kind):
-    # Another process holds the port. A host that ended for that would serve nobody,
-    # and start again and again.
+async def test_an_unusable_metrics_address_is_logged_and_requests_are_served(kind):
+    # Another process holds the port. A host that exited for that would serve no
+    # requests, and restart again and again.
     async with async_world() as world:
         daemon = world.daemon
         address = daemon.settings.front_address if kind == "taken" else "nowhere"
@@ -120,10 +120,10 @@
         assert (await world.async_call("/safe/1"))[0] == 200
 
 
-async def test_a_request_that_leaves_late_is_told_with_the_age_of_the_news():
-    # A request reached a server that had said seconds before that it leaves. On-call
-    # engineers ask whether the host did not know yet when it chose the server, or knew
-    # at the first byte, half a second later, and did not look.
+async def test_a_delayed_send_is_reported_with_the_age_of_the_state():
+    # A request reached a server that had announced seconds before that it was leaving.
+    # On-call engineers need to see whether the host had no such update when it chose
+    # the server, or had it at the first byte, half a second later, and did not check.
     async with async_world(metrics=True) as world:
         world.clock.stop()
         with world.held_connections() as waiting:
--- a/packages/node/tests/test_gateway_placing.py
+++ b/packages/node/tests/test_gateway_placing.py
@@ -1,4 +1,4 @@
-"""Which regions a host may use for a request."""
+"""The regions that a host may use for a request."""
 
 import pytest
 from gateway_world import ZONES, Lines
@@ -16,8 +16,8 @@
 ROUTE = Route(name="r", prefix="/", destinations=(Destination("booking"),))
 
 
-def create_placer(round_trip_seconds):
-    """Return the placer of a host in the north, whose region has just lost a server."""
+def create_placer_after_losses(round_trip_seconds):
+    """Return the placer of a host in the north, which has just lost three servers."""
     view = FleetView(ZONES, lambda item: None, Lines())
     for region, zone in (("north", "zone-a"), ("south", "zone-b")):
         for number in range(4):
@@ -40,43 +40,47 @@
     return placer
 
 
-def places(placer, count=200):
-    """Return the region or refusal of many keys of callers in the north."""
-    found = {}
+def choose_regions(placer, count=200):
+    """Return the region chosen for each of many keys, or None if rejected."""
+    regions_by_key = {}
     for number in range(count):
         key = f"k{number}"
         call = Call(f"id-{number}", ROUTE, "booking", key, "/", NOW, NOW + 5)
         place = placer.place(call, frozenset(), NOW)
-        found[key] = None if isinstance(place, NoPlace) else place.region
-    return found
+        regions_by_key[key] = None if isinstance(place, NoPlace) else place.region
+    return regions_by_key
 
 
 @pytest.mark.parametrize(
-    ("round_trip_seconds", "refused_least", "refused_most"),
+    ("round_trip_seconds", "rejected_min", "rejected_max"),
     [(0.9, 10, 30), (0.0, 30, 50)],
     ids=["keys near their callers", "keys spread by slots"],
 )
-def test_callers_are_refused_only_as_far_as_no_region_may_run_them(
-    round_trip_seconds, refused_least, refused_most
+def test_requests_are_rejected_only_if_no_region_may_run_them(
+    round_trip_seconds, rejected_min, rejected_max
 ):
-    # Three of four servers of a region have left, the other one is full, and the next
-    # region is idle. Of keys that run near their callers, four in ten belong here and
-    # three quarters of these may leave. The others are spread by the slots that are
-    # left: one in five belongs here and stays.
-    found = places(create_placer(round_trip_seconds))
-    refused = sum(region is None for region in found.values())
-    assert refused_least <= refused <= refused_most
+    # Three of four servers of a region have left, the fourth is full, and the other
+    # region is idle. Of the keys that run near their callers, four in ten belong to the
+    # first region, and three quarters of these may spill. The other keys are spread by
+    # the slots that are left: one in five belongs to the first region and stays.
+    regions_by_key = choose_regions(create_placer_after_losses(round_trip_seconds))
+    rejected = sum(region is None for region in regions_by_key.values())
+    assert rejected_min <= rejected <= rejected_max
 
 
-def test_keys_that_are_spread_do_not_leave_their_region():
-    # Each region is as full as the others, and a key that leaves runs cold there.
-    placer = create_placer(0.0)
-    found = places(placer)
+def test_keys_spread_by_slots_do_not_spill():
+    # All regions are equally full, and a key that spills runs cold in the other region.
+    placer = create_placer_after_losses(0.0)
+    regions_by_key = choose_regions(placer)
     weights = placer.weights.current(next(iter(placer.weights.weights)))
     assert weights["north"] == pytest.approx(0.2)
     for _ in range(3):
-        assert places(placer) == found
-    assert set(found.values()) == {None, "south"}
+        assert choose_regions(placer) == regions_by_key
+    assert set(regions_by_key.values()) == {None, "south"}
     placer.view.servers.servers["north-3"].take_report(0, 0, NOW)
-    home = {key for key, region in places(placer).items() if region == "north"}
-    assert home == {key for key, region in found.items() if region is None}
+    local_keys = {
+        key for key, region in choose_regions(placer).items() if region == "north"
+    }
+    assert local_keys == {
+        key for key, region in regions_by_key.items() if region is None
+    }
--- a/packages/node/tests/test_gateway_quarantine_news.py
+++ b/packages/node/tests/test_gateway_quarantine_news.py
@@ -1,4 +1,4 @@
-"""How hosts tell each other, and the store, of requests that end servers."""
+"""How hosts share requests that crash servers with peers and with the store."""
 
 import asyncio
 import random
@@ -38,26 +38,26 @@
 from greengagepoint_node.gateway.request_quarantine import RequestQuarantine
 from greengagepoint_node.gateway.view import FleetView
 
-# Users allow three more sends from then on.
+# Hosts have to agree within this time; users allow three more sends from then on.
 CONTACT_SECONDS = 3.0
-FATAL = Fingerprint("f" * 32, "caller")
+CRASHING = Fingerprint("f" * 32, "caller")
 HOSTS = [f"h{number}" for number in range(6)]
 
 
 class Identity:
     """A request of a known fingerprint."""
 
-    def __init__(self, fingerprint=FATAL):
+    def __init__(self, fingerprint=CRASHING):
         self.fingerprint = fingerprint
         self.head = fingerprint.content[:16]
 
 
 class Network:
-    """Hosts that send each other messages, a part of which is lost."""
+    """Hosts that send each other messages; ``loss`` is the share that is lost."""
 
-    def __init__(self, hosts, lost=0.0):
+    def __init__(self, hosts, loss=0.0):
         self.random = random.Random(7)
-        self.lost = lost
+        self.loss = loss
         self.sent = 0
         self.clock = MovedClock()
         self.syncs = {}
@@ -77,30 +77,30 @@
 
     async def async_send(self, address, body):
         self.sent += 1
-        if self.random.random() >= self.lost:
+        if self.random.random() >= self.loss:
             self.syncs[address].take(decode(body))
 
-    def end(self, host, number, fingerprint=FATAL):
+    def crash(self, host, number, fingerprint=CRASHING):
         server = Server(f"i-{number}", "booking", "", "zone-a", "north", 4)
         self.syncs[host].quarantine.note_end(Identity(fingerprint), server)
 
-    def refusing(self):
+    def count_quarantining(self):
         now = self.clock.monotonic()
         tables = [sync.quarantine.table for sync in self.syncs.values()]
-        verdicts = [table.standing(FATAL, now).verdict for table in tables]
+        verdicts = [table.standing(CRASHING, now).verdict for table in tables]
         return verdicts.count(Verdict.QUARANTINED)
 
     def exchange(self):
-        """Let each host exchange tables with another one."""
+        """Make each host exchange tables with a random peer."""
         for sync in self.syncs.values():
             peers = sync.peers()
-            other = self.syncs[peers[self.random.randrange(len(peers))]]
-            told = other.shared()
-            other.take(sync.shared())
-            sync.take(told)
+            peer = self.syncs[peers[self.random.randrange(len(peers))]]
+            state = peer.shared()
+            peer.take(sync.shared())
+            sync.take(state)
 
     async def async_settle(self):
-        """Let all hosts send until nobody has anything left to tell."""
+        """Run the sends of all hosts until no updates are pending."""
         for _ in range(40):
             for sync in self.syncs.values():
                 sync._send_batch()
@@ -109,224 +109,228 @@
 
 
 @pytest.mark.parametrize("count", [3, 11, 195])
-async def test_three_ends_at_three_hosts_are_known_to_all(count):
+async def test_three_crashes_at_three_hosts_reach_all_hosts(count):
     network = Network([f"h{number}" for number in range(count)])
     for number in range(3):
-        network.end(f"h{number}", number)
+        network.crash(f"h{number}", number)
     await network.async_settle()
     assert network.sent <= 3 * FANOUT * count
-    # Passed on once by each, news misses a few of many; exchanges bring it in time.
+    # Each host forwards an update once, which misses a few hosts of a large fleet. The
+    # exchanges of tables reach them in time.
     for _ in range(int(CONTACT_SECONDS / PERIOD_SECONDS)):
         network.exchange()
-    assert network.refusing() == count
+    assert network.count_quarantining() == count
 
 
-async def test_an_exchange_brings_what_lost_messages_did_not():
-    network = Network(HOSTS, lost=1.0)
+async def test_an_exchange_of_tables_makes_up_for_lost_messages():
+    network = Network(HOSTS, loss=1.0)
     for number in range(3):
-        network.end("h0", number)
+        network.crash("h0", number)
     await network.async_settle()
-    assert network.refusing() == 1
+    assert network.count_quarantining() == 1
     for name in HOSTS[1:]:
         network.syncs[name].take(network.syncs["h0"].shared())
-    assert network.refusing() == len(HOSTS)
+    assert network.count_quarantining() == len(HOSTS)
 
 
-async def test_many_ends_at_once_are_sent_in_parts_the_worst_first():
+async def test_many_crashes_are_sent_in_batches_with_the_most_crashes_first():
     network = Network(HOSTS[:2])
     for number in range(3 * ROWS_MAX):
-        network.end("h0", 0, Fingerprint(f"{number:032}", "caller"))
+        network.crash("h0", 0, Fingerprint(f"{number:032}", "caller"))
     for number in range(3):
-        network.end("h0", number)
+        network.crash("h0", number)
     network.syncs["h0"]._send_batch()
     await asyncio.sleep(0)
-    assert network.refusing() == 2
+    assert network.count_quarantining() == 2
     assert len(network.syncs["h1"].quarantine.table.suspects) == ROWS_MAX
 
 
-async def test_the_single_ends_of_a_lost_zone_are_not_passed_on():
+async def test_single_crashes_of_a_lost_zone_are_not_forwarded():
     network = Network([f"h{number}" for number in range(20)])
     for number in range(ROWS_MAX):
-        network.end("h0", 0, Fingerprint(f"{number:032}", "caller"))
+        network.crash("h0", 0, Fingerprint(f"{number:032}", "caller"))
     await network.async_settle()
     assert network.sent == FANOUT
-    network.end("h0", 1, Fingerprint(f"{0:032}", "caller"))
+    network.crash("h0", 1, Fingerprint(f"{0:032}", "caller"))
     await network.async_settle()
     assert network.sent > 3 * FANOUT
 
 
 class Store:
-    """A store that keeps what it is given."""
+    """A store that keeps entries in memory."""
 
     def __init__(self):
         self.entries = {}
         self.leases = []
         self.calls = 0
-        self.away = False
+        self.is_unavailable = False
 
     async def async_grant_lease(self, seconds):
-        self._answer()
+        self._handle_call()
         self.leases.append(seconds)
         return len(self.leases)
 
     async def async_put(self, entries, lease):
-        self._answer()
+        self._handle_call()
         self.entries |= {entry.content: entry for entry in entries}
 
     async def async_remove(self, entries):
-        self._answer()
+        self._handle_call()
         for entry in entries:
             self.entries.pop(entry.content, None)
 
-    def _answer(self):
+    def _handle_call(self):
         self.calls += 1
-        if self.away:
+        if self.is_unavailable:
             raise StoreError("away")
 
 
-class Keepers:
+class StoreHosts:
     """The hosts of a network with one store."""
 
     def __init__(self):
         self.network = Network(HOSTS)
         self.store = Store()
         self.hosts = list(HOSTS)
-        self.keepers = {name: self.keeper(name) for name in HOSTS}
+        self.quarantine_stores = {name: self.create_store(name) for name in HOSTS}
 
-    def keeper(self, name):
+    def create_store(self, name):
         sync = self.network.syncs[name]
         return QuarantineStore(self.store, sync, name, lambda: self.hosts, Lines())
 
     async def async_step(self, seconds=0.0):
-        """Let all hosts look, with what the store told them by then."""
+        """Advance the clock and run a step of all hosts, with the store's entries."""
         self.network.clock.ahead += seconds
-        told = dict(self.store.entries)
+        state = dict(self.store.entries)
         for name in self.hosts:
-            keeper = self.keepers[name]
-            for content in set(keeper.stored) - set(told):
-                keeper.drop(keeper.stored[content].entry)
-            for entry in told.values():
-                if entry.content not in keeper.stored:
-                    keeper.take(entry)
+            quarantine_store = self.quarantine_stores[name]
+            for content in set(quarantine_store.stored) - set(state):
+                quarantine_store.drop(quarantine_store.stored[content].entry)
+            for entry in state.values():
+                if entry.content not in quarantine_store.stored:
+                    quarantine_store.take(entry)
             try:
-                await keeper._async_step()
+                await quarantine_store._async_step()
             except StoreError:
                 pass
 
-    async def async_refused(self):
+    async def async_quarantine(self):
         for number in range(3):
-            self.network.end("h0", number)
+            self.network.crash("h0", number)
         await self.network.async_settle()
 
 
-async def test_one_host_writes_what_all_refuse():
-    keepers = Keepers()
-    await keepers.async_refused()
+async def test_one_host_writes_what_all_quarantine():
+    fleet = StoreHosts()
+    await fleet.async_quarantine()
     for _ in range(4):
-        await keepers.async_step(TAKEOVER_SECONDS)
-    assert list(keepers.store.entries) == [FATAL.content]
-    assert keepers.store.calls == 2
-    assert keepers.store.leases == [
+        await fleet.async_step(TAKEOVER_SECONDS)
+    assert list(fleet.store.entries) == [CRASHING.content]
+    assert fleet.store.calls == 2
+    assert fleet.store.leases == [
         pytest.approx(QUARANTINE_SECONDS[0] + RETENTION_SECONDS, abs=1.0)
     ]
 
 
-async def test_another_host_steps_in_for_one_that_is_gone():
-    keepers = Keepers()
-    await keepers.async_refused()
+async def test_another_host_writes_if_the_first_writers_do_not():
+    fleet = StoreHosts()
+    await fleet.async_quarantine()
     order = sorted(
-        keepers.hosts, key=lambda name: keepers.keepers[name]._writer_position("f" * 32)
+        fleet.hosts,
+        key=lambda name: fleet.quarantine_stores[name]._writer_position("f" * 32),
     )
-    # The first two are alive for the others, but do not write.
+    # The first two count as alive at the others, but do not write.
     for name in order[: WRITERS_PER_ENTRY - 1]:
-        keepers.keepers[name]._async_step = lambda: asyncio.sleep(0)
+        fleet.quarantine_stores[name]._async_step = lambda: asyncio.sleep(0)
     for _ in range(WRITERS_PER_ENTRY + 1):
-        await keepers.async_step(TAKEOVER_SECONDS)
-    assert list(keepers.store.entries) == [FATAL.content]
+        await fleet.async_step(TAKEOVER_SECONDS)
+    assert list(fleet.store.entries) == [CRASHING.content]
 
 
-async def test_a_store_that_was_away_is_told_on_its_return():
-    keepers = Keepers()
-    keepers.store.away = True
-    await keepers.async_refused()
+async def test_entries_are_written_after_a_store_outage():
+    fleet = StoreHosts()
+    fleet.store.is_unavailable = True
+    await fleet.async_quarantine()
     for _ in range(4):
-        await keepers.async_step(TAKEOVER_SECONDS)
-    assert not keepers.store.entries
-    keepers.store.away = False
-    await keepers.async_step()
-    assert list(keepers.store.entries) == [FATAL.content]
-
-
-async def test_a_host_that_starts_refuses_what_the_store_holds():
-    keepers = Keepers()
-    await keepers.async_refused()
-    await keepers.async_step()
-    fresh = Network(["h9"])
-    keeper = QuarantineStore(keepers.store, fresh.syncs["h9"], "h9", list, Lines())
-    keeper.take(keepers.store.entries[FATAL.content])
-    assert fresh.refusing() == 1
-
-
-async def test_what_is_cleared_is_removed():
-    keepers = Keepers()
-    await keepers.async_refused()
-    await keepers.async_step()
-    assert keepers.store.entries
-    assert keepers.network.syncs["h3"].quarantine.lift(FATAL.content)
-    await keepers.network.async_settle()
+        await fleet.async_step(TAKEOVER_SECONDS)
+    assert not fleet.store.entries
+    fleet.store.is_unavailable = False
+    await fleet.async_step()
+    assert list(fleet.store.entries) == [CRASHING.content]
+
+
+async def test_a_new_host_quarantines_the_requests_in_the_store():
+    fleet = StoreHosts()
+    await fleet.async_quarantine()
+    await fleet.async_step()
+    new_network = Network(["h9"])
+    quarantine_store = QuarantineStore(
+        fleet.store, new_network.syncs["h9"], "h9", list, Lines()
+    )
+    quarantine_store.take(fleet.store.entries[CRASHING.content])
+    assert new_network.count_quarantining() == 1
+
+
+async def test_entries_of_cleared_requests_are_removed():
+    fleet = StoreHosts()
+    await fleet.async_quarantine()
+    await fleet.async_step()
+    assert fleet.store.entries
+    assert fleet.network.syncs["h3"].quarantine.lift(CRASHING.content)
+    await fleet.network.async_settle()
     for _ in range(4):
-        await keepers.async_step(TAKEOVER_SECONDS)
-    assert not keepers.store.entries
-    assert keepers.network.refusing() == 0
+        await fleet.async_step(TAKEOVER_SECONDS)
+    assert not fleet.store.entries
+    assert fleet.network.count_quarantining() == 0
 
 
-async def test_two_ends_are_written_where_no_answer_clears_them():
-    keepers = Keepers()
+async def test_two_crashes_are_written_if_no_answer_clears_them():
+    fleet = StoreHosts()
     for number in range(2):
-        keepers.network.end("h0", number)
-    await keepers.network.async_settle()
-    await keepers.async_step()
-    assert not keepers.store.entries
+        fleet.network.crash("h0", number)
+    await fleet.network.async_settle()
+    await fleet.async_step()
+    assert not fleet.store.entries
     for _ in range(3):
-        await keepers.async_step(TRIAL_OUTCOME_SECONDS)
-    assert list(keepers.store.entries) == [FATAL.content]
+        await fleet.async_step(TRIAL_OUTCOME_SECONDS)
+    assert list(fleet.store.entries) == [CRASHING.content]
 
 
-async def test_a_third_end_is_written_though_two_were_left_undecided():
-    keepers = Keepers()
+async def test_a_third_crash_is_written_without_waiting_for_a_trial():
+    fleet = StoreHosts()
     for number in range(2):
-        keepers.network.end("h0", number)
-    await keepers.network.async_settle()
-    await keepers.async_step()
-    keepers.network.end("h0", 2)
-    await keepers.network.async_settle()
-    await keepers.async_step()
-    assert list(keepers.store.entries) == [FATAL.content]
-
-
-async def test_thousands_of_fatal_requests_are_written_in_parts():
-    keepers = Keepers()
-    keepers.hosts = ["h0"]
+        fleet.network.crash("h0", number)
+    await fleet.network.async_settle()
+    await fleet.async_step()
+    fleet.network.crash("h0", 2)
+    await fleet.network.async_settle()
+    await fleet.async_step()
+    assert list(fleet.store.entries) == [CRASHING.content]
+
+
+async def test_thousands_of_crashing_requests_are_written_in_batches():
+    fleet = StoreHosts()
+    fleet.hosts = ["h0"]
     for server in range(3):
-        keepers.network.clock.ahead += 2.0
+        fleet.network.clock.ahead += 2.0
         for number in range(10 * WRITTEN_ENTRIES_MAX):
             fingerprint = Fingerprint(f"{number:032}", "caller")
-            keepers.network.end("h0", 3 * number + server, fingerprint)
-    await keepers.async_step()
-    assert len(keepers.store.entries) == WRITTEN_ENTRIES_MAX
-    assert keepers.store.calls == 2
+            fleet.network.crash("h0", 3 * number + server, fingerprint)
+    await fleet.async_step()
+    assert len(fleet.store.entries) == WRITTEN_ENTRIES_MAX
+    assert fleet.store.calls == 2
 
 
-def test_messages_are_read_as_they_were_written():
+def test_messages_round_trip_through_the_codec():
     network = Network(["h0", "h1"])
-    network.end("h0", 1)
+    network.crash("h0", 1)
     rows = network.syncs["h0"].shared()
     assert decode(encode(rows)) == rows
     assert rows[0].ends[0].instance == "i-1"
 
 
-class Heard:
-    """Keep what a view tells."""
+class RecordedEntries:
+    """Record the calls of a view."""
 
     def __init__(self):
         self.rows = []
@@ -338,10 +342,10 @@
         self.rows.append(("drop", entry))
 
 
-def test_a_view_tells_of_entries_as_they_come_and_go():
-    fact = QuarantineEntry("c", 30.0, ())
-    view = FleetView(ZONES, lambda item: fact, Lines())
-    view.quarantine = heard = Heard()
+def test_a_view_passes_on_added_and_removed_entries():
+    stored_entry = QuarantineEntry("c", 30.0, ())
+    view = FleetView(ZONES, lambda item: stored_entry, Lines())
+    view.quarantine = recorded = RecordedEntries()
     view.apply(Changes((StoredItem("q", b"", 5),), 5), 1.0)
     view.apply(Changes((RemovedKey("q", 6),), 6), 1.0)
-    assert heard.rows == [("take", fact), ("drop", fact)]
+    assert recorded.rows == [("take", stored_entry), ("drop", stored_entry)]
