--- a/packages/node/greengagepoint_node/gateway/placing.py
+++ b/packages/node/greengagepoint_node/gateway/placing.py
@@ -31,7 +31,7 @@
     """The requests that a server runs, and those that wait there for a slot."""
 
     running: int
-    waiting: int
+    queued: int
 
 
 class Placer:
@@ -56,10 +56,10 @@
         self.events = events
         self.ranks = RankCache()
         self.waiting = create_waiting()
-        self.moving = create_moving()
+        self.move_allowance = create_moving()
         self.loads = RegionLoads(home)
         self.busy_servers = BusyServers()
-        self.room = RoomWatch()
+        self.lost_capacity = RoomWatch()
         self.warm_keys = WarmKeys()
         self.answers: dict[tuple[str, str], AnswerTimes] = {}
         self.cold_starts = ColdStartLimiter(host, started_at)
@@ -78,7 +78,7 @@
         choice = choose_with_spill(
             self.view.servers,
             self.ranks,
-            self._create_wanted(call, region, tried, now),
+            self._create_criteria(call, region, tried, now),
             self._spill_candidates(weight_key, region, now)
             if weight_key.prefers_local
             else (),
@@ -90,7 +90,7 @@
             self._record_placement(call, choice, now)
         return choice
 
-    def _create_wanted(
+    def _create_criteria(
         self, call: Call, region: str, tried: frozenset[Incarnation], now: float
     ) -> Wanted:
         """Return what a request requires of its server."""
@@ -106,7 +106,7 @@
         )
 
     def _create_permissions(self, call: Call, now: float) -> Permissions:
-        """Return the limited allowances that the choice for a request may use."""
+        """Return the rate limits and allowances that the choice has to respect."""
         rate = self._cold_requests_per_second(call.service)
 
         def may_send(server: Server) -> bool:
@@ -114,11 +114,13 @@
                 server.incarnation, rate, self.serving_hosts, now
             )
 
-        return Permissions(may_send, self.waiting.withdraw, self.moving.withdraw)
+        return Permissions(
+            may_send, self.waiting.withdraw, self.move_allowance.withdraw
+        )
 
     def _may_spill(self, call: Call, region: str, server: Server, now: float) -> bool:
         """Return True if a request may spill to a server of another region."""
-        lost = self.room.lost_share(call.service, region)
+        lost = self.lost_capacity.lost_share(call.service, region)
         busy = self.loads.busy(call.service, server.region, now)
         return may_leave(_placement_key(call), lost, busy)
 
@@ -133,7 +135,7 @@
     def take_caller(self) -> None:
         """Add one caller's share to the allowances for waiting and for moved keys."""
         self.waiting.deposit()
-        self.moving.deposit()
+        self.move_allowance.deposit()
 
     def learn(
         self,
@@ -155,8 +157,8 @@
             return
         load = read_load(exchange.load)
         if load is not None:
-            server.take_report(load.running, load.waiting, now)
-            self.busy_servers.note(server, load.running + load.waiting, now)
+            server.take_report(load.running, load.queued, now)
+            self.busy_servers.note(server, load.running + load.queued, now)
         elif exchange.verdict is Verdict.SHED:
             server.take_shedding(now)
             assumed_load = (1 + SHEDDING_QUEUE) * server.slots
@@ -166,7 +168,7 @@
             self.answer_times(server).take(seconds, now)
             # The time of a request that waited for its slot would make the server look
             # slow, and its queue twice as long as it is.
-            if expected_wait == 0 and (load is None or load.waiting == 0):
+            if expected_wait == 0 and (load is None or load.queued == 0):
                 server.take_service_time(seconds)
         elif exchange.verdict is Verdict.SHED:
             suspicion.note_answer(server, now)
@@ -202,7 +204,7 @@
 
     def tick(self, now: float) -> None:
         """Update free capacity and loads, and drop the state of removed servers."""
-        self.room.tick(self.view.servers, now)
+        self.lost_capacity.tick(self.view.servers, now)
         if now - self.loads_measured_at < LOAD_REFRESH_SECONDS:
             return
         self.loads_measured_at = now
--- a/packages/node/greengagepoint_node/gateway/quarantine_store.py
+++ b/packages/node/greengagepoint_node/gateway/quarantine_store.py
@@ -38,7 +38,7 @@
 RETRY_PAUSE_MAX_SECONDS: Final = 2.0
 
 
-class StoredEntry(NamedTuple):
+class StoredQuarantine(NamedTuple):
     """An entry of the store, and the monotonic times of its quarantine and expiry."""
 
     entry: QuarantineEntry
@@ -67,7 +67,7 @@
         self.host = host
         self.hosts = hosts
         self.events = events
-        self.stored: dict[str, StoredEntry] = {}
+        self.stored: dict[str, StoredQuarantine] = {}
         self.due_at: dict[str, float] = {}
         self.failures = 0
 
@@ -171,7 +171,7 @@
     def _record_stored(self, entry: QuarantineEntry, now: float) -> None:
         """Record an entry that the store holds."""
         quarantined_until = now + entry.seconds
-        self.stored[entry.content] = StoredEntry(
+        self.stored[entry.content] = StoredQuarantine(
             entry, quarantined_until, quarantined_until + RETENTION_SECONDS
         )
 
--- a/packages/node/greengagepoint_node/gateway/quarantine_sync.py
+++ b/packages/node/greengagepoint_node/gateway/quarantine_sync.py
@@ -22,7 +22,7 @@
 SEND_TIMEOUT_SECONDS: Final = 0.6
 # A server crashes with many requests in flight; they are sent together.
 BATCH_SECONDS: Final = 0.02
-# A message stays under 16 KB, and at most twenty are sent a second.
+# A batch stays under 16 KB, and at most twenty are sent a second.
 ROWS_MAX: Final = 32
 SEND_INTERVAL_SECONDS: Final = 0.05
 # A lost zone leaves hundreds of requests with one crash each, most of which are
