--- a/packages/node/greengagepoint_node/gateway/counters.py
+++ b/packages/node/greengagepoint_node/gateway/counters.py
@@ -55,7 +55,7 @@
         self.store_calls: Counter[tuple[str, str]] = Counter()
         self.peer_bytes: Counter[tuple[str, str]] = Counter()
         self.rejected_items: Counter[tuple[str]] = Counter()
-        self.servers_ended: Counter[tuple[str]] = Counter()
+        self.in_flight_at_crash: Counter[tuple[str]] = Counter()
         self.durations: dict[tuple[str, str], Histogram] = {}
         self.loop_lag = Histogram(LAG_BOUNDS)
         self.send_delay = Histogram(SECONDS_BOUNDS)
--- a/packages/node/greengagepoint_node/gateway/handler.py
+++ b/packages/node/greengagepoint_node/gateway/handler.py
@@ -197,7 +197,7 @@
         self, request: web.BaseRequest, call: Call, body: bytes | None
     ) -> web.Response:
         """Try servers until one answers or the request may not be sent again."""
-        self.placer.take_caller()
+        self.placer.count_caller()
         identity = RequestIdentity(request, body, call.account)
         tries = Tries()
         last: Exchange | None = None
@@ -345,7 +345,7 @@
             overdue.cancel()
             server.in_flight -= 1
         now = self.clock.monotonic()
-        self.placer.learn(call, server, exchange, now - began, waited, now)
+        self.placer.record_attempt(call, server, exchange, now - began, waited, now)
         number = len(tries.servers)
         self.outcomes.note_sent(call, server, sending.times)
         self.outcomes.note_try(call, server, exchange, number, now - began)
--- a/packages/node/greengagepoint_node/gateway/log_lines.py
+++ b/packages/node/greengagepoint_node/gateway/log_lines.py
@@ -51,7 +51,7 @@
                 view = view[os.write(self.descriptor, view) :]
 
 
-class LoggedLines:
+class EventLogger:
     """Write events as lines of a host's log."""
 
     def __init__(self, host: str, clock: Clock, writer: LineWriter) -> None:
--- a/packages/node/greengagepoint_node/gateway/metrics_page.py
+++ b/packages/node/greengagepoint_node/gateway/metrics_page.py
@@ -98,7 +98,7 @@
         yield Instrument(
             "requests_in_flight_at_server_end",
             "Requests that a backend server had when it ended, by service.",
-            lambda: _rows(counters.servers_ended, "service"),
+            lambda: _rows(counters.in_flight_at_crash, "service"),
         )
         yield Instrument(
             "account_requests",
--- a/packages/node/greengagepoint_node/gateway/outcomes.py
+++ b/packages/node/greengagepoint_node/gateway/outcomes.py
@@ -134,7 +134,7 @@
 
         The same fingerprint under other request ids is the same request.
         """
-        self.counters.servers_ended[(call.service,)] += 1
+        self.counters.in_flight_at_crash[(call.service,)] += 1
         self.events.record(
             Event.BACKEND_SERVER_ENDED,
             request_id=call.request_id,
--- a/packages/node/greengagepoint_node/gateway/placing.py
+++ b/packages/node/greengagepoint_node/gateway/placing.py
@@ -55,13 +55,13 @@
         self.distance = distance
         self.events = events
         self.ranks = RankCache()
-        self.waiting = create_waiting()
+        self.wait_allowance = create_waiting()
         self.move_allowance = create_moving()
         self.loads = RegionLoads(home)
         self.busy_servers = BusyServers()
         self.lost_capacity = RoomWatch()
         self.warm_keys = WarmKeys()
-        self.answers: dict[tuple[str, str], AnswerTimes] = {}
+        self.answer_times_by_group: dict[tuple[str, str], AnswerTimes] = {}
         self.cold_starts = ColdStartLimiter(host, started_at)
         self.serving_hosts: list[str] = [host]
         self.round_trip_seconds = 0.0
@@ -115,7 +115,7 @@
             )
 
         return Permissions(
-            may_send, self.waiting.withdraw, self.move_allowance.withdraw
+            may_send, self.wait_allowance.withdraw, self.move_allowance.withdraw
         )
 
     def _may_spill(self, call: Call, region: str, server: Server, now: float) -> bool:
@@ -132,12 +132,12 @@
             # for the next caller before the first one is answered.
             self.warm_keys.note(call.key, server.incarnation, now)
 
-    def take_caller(self) -> None:
+    def count_caller(self) -> None:
         """Add one caller's share to the allowances for waiting and for moved keys."""
-        self.waiting.deposit()
+        self.wait_allowance.deposit()
         self.move_allowance.deposit()
 
-    def learn(
+    def record_attempt(
         self,
         call: Call,
         server: Server,
@@ -179,7 +179,9 @@
 
     def answer_times(self, server: Server) -> AnswerTimes:
         """Return this host's answer times for a server's service and region."""
-        return self.answers.setdefault((server.service, server.region), AnswerTimes())
+        return self.answer_times_by_group.setdefault(
+            (server.service, server.region), AnswerTimes()
+        )
 
     def silent_after(self, server: Server, seconds_left: float, now: float) -> float:
         """Return the seconds without any answer after which a server counts as dead."""
--- a/packages/node/tests/test_gateway_answers.py
+++ b/packages/node/tests/test_gateway_answers.py
@@ -123,7 +123,9 @@
     # run would be thrown away, and its repeat elsewhere could not end in time.
     async with async_world(seconds=0.7) as world:
         set_run_seconds(world, 0.05)
-        world.daemon.placer.answers["booking", "north"] = AnswerTimes(0.1, 0.8)
+        world.daemon.placer.answer_times_by_group["booking", "north"] = AnswerTimes(
+            0.1, 0.8
+        )
         status, _, _ = await world.async_call("/safe/1")
         assert (status, world.ran()) == (200, 1)
         assert not world.events.of(Event.BACKEND_SERVER_SUSPECTED)
@@ -331,7 +333,7 @@
     # from it whether servers were full, how sure that was, and by which configuration.
     async with async_world(servers=2) as world:
         now = world.daemon.clock.monotonic()
-        world.daemon.placer.waiting.tokens = 0.0
+        world.daemon.placer.wait_allowance.tokens = 0.0
         for row in world.daemon.view.servers.servers.values():
             row.take_report(4, 30, now)
         status, _, _ = await world.async_call("/safe/1")
--- a/packages/node/tests/test_gateway_incarnations.py
+++ b/packages/node/tests/test_gateway_incarnations.py
@@ -206,12 +206,16 @@
     tell(fleet, write(3, 200))
     newer = fleet.servers.servers["i-1"]
     clean_repr = repr(newer)
-    placer.learn(CALL, older, Exchange(verdict, load="4,9,4"), 2.0, 0.0, NOW + 1)
+    placer.record_attempt(
+        CALL, older, Exchange(verdict, load="4,9,4"), 2.0, 0.0, NOW + 1
+    )
     placer.suspect(older, verdict, NOW + 1)
     assert repr(newer) == clean_repr
     assert members(fleet) == {run(200)}
     assert newer.incarnation not in placer.warm_keys.servers("k", NOW)
-    placer.learn(CALL, newer, Exchange(verdict, load="1,0,4"), 2.0, 0.0, NOW + 1)
+    placer.record_attempt(
+        CALL, newer, Exchange(verdict, load="1,0,4"), 2.0, 0.0, NOW + 1
+    )
     assert newer.reported_at == NOW + 1
 
 
--- a/packages/node/tests/test_gateway_placing.py
+++ b/packages/node/tests/test_gateway_placing.py
@@ -36,7 +36,7 @@
     placer.tick(NOW)
     view.servers.servers["north-3"].take_report(4, 40, NOW)
     placer.loads.take([RegionLoad("south", "booking", 0.1, 0.0)], NOW)
-    placer.waiting.tokens = 0.0
+    placer.wait_allowance.tokens = 0.0
     return placer
 
 
