--- a/packages/core/greengagepoint/caps/__init__.py
+++ b/packages/core/greengagepoint/caps/__init__.py
@@ -1,1 +1,1 @@
-"""Keep caps and region budgets: shares in a ledger, loans between hosts."""
+"""Enforce caps and region capacities by ledger shares and loans between hosts."""
--- a/packages/core/greengagepoint/caps/borrowing.py
+++ b/packages/core/greengagepoint/caps/borrowing.py
@@ -1,19 +1,19 @@
-"""Decide what to borrow from whom, and take grants."""
+"""Decide how many units to borrow from which lenders, and apply grants."""
 
 from collections.abc import Iterable
 from math import ceil
 from typing import Final, NamedTuple
 
 from greengagepoint.caps.const import (
-    ASK_TIMEOUT_SECONDS,
     DEMAND_WINDOW_SECONDS,
-    KEEP_SECONDS,
+    IDLE_UNIT_SECONDS,
+    LOAN_REQUEST_TIMEOUT_SECONDS,
     LOAN_SECONDS,
     REDIRECT_SECONDS,
-    SHORT_SECONDS,
-    SHORT_SECONDS_MAX,
-    SILENT_SECONDS,
-    SILENT_SECONDS_MAX,
+    SHORTFALL_BACKOFF_SECONDS,
+    SHORTFALL_BACKOFF_SECONDS_MAX,
+    TIMEOUT_BACKOFF_SECONDS,
+    TIMEOUT_BACKOFF_SECONDS_MAX,
 )
 from greengagepoint.caps.ledger import (
     owner_incarnation,
@@ -26,19 +26,19 @@
 from greengagepoint.caps.tables import CapsTable, Lender, Loan, Site
 from greengagepoint.rendezvous import rank
 
-SPARE_PART: Final = 0.25
-FIRST_UNITS: Final = 4
+SPARE_DEMAND_RATIO: Final = 0.25
+MIN_DEMAND_GROWTH: Final = 4
 
 
 class Outgoing(NamedTuple):
-    """One message to a host by name."""
+    """One message and the name of the host it is sent to."""
 
     host: str
     message: object
 
 
 def roll_demand(site: Site, now: float) -> None:
-    """Start a new demand window where the last one is over."""
+    """Start a new demand window once the current one has ended."""
     if now - site.window_start < DEMAND_WINDOW_SECONDS:
         return
     if site.peak:
@@ -51,24 +51,24 @@
 def demand(site: Site, now: float) -> int:
     """Return how many units this host can use toward a site.
 
-    The recent peak, and a spare part while there is enough. Refusals count into the
-    peak, but double what is in flight at most, as many refusals may stand for few
-    requests at once.
+    The demand is the recent peak plus a spare ratio, which is left out while units
+    are scarce. Rejections count toward the peak, but at most double the requests in
+    flight, as many rejections may stem from few concurrent requests.
     """
     if site.refused:
         in_flight = site.in_flight + site.borrowed_in_flight
-        more = min(site.refused, max(FIRST_UNITS, in_flight))
+        more = min(site.refused, max(MIN_DEMAND_GROWTH, in_flight))
         site.peak = max(site.peak, in_flight + more)
         site.refused = 0
     peak = max(site.peak, site.recent_peak)
     if _is_scarce(site):
         return min(peak, site.limit)
-    kept = 1 if now - site.active_at < KEEP_SECONDS else 0
-    return min(max(peak + ceil(peak * SPARE_PART), kept), site.limit)
+    kept = 1 if now - site.active_at < IDLE_UNIT_SECONDS else 0
+    return min(max(peak + ceil(peak * SPARE_DEMAND_RATIO), kept), site.limit)
 
 
 def _is_scarce(site: Site) -> bool:
-    """Tell whether no lender had a unit left when it last answered."""
+    """Return True if no lender had a free unit when it last answered."""
     return bool(site.loans) and not any(loan.lendable for loan in site.loans.values())
 
 
@@ -87,25 +87,26 @@
 def _collect_wants(
     table: CapsTable, site: Site, wants: dict[str, list[Want]], now: float
 ) -> None:
-    """Spread a site's demand over its lenders, and list those to be asked now."""
+    """Distribute a site's demand over its lenders and add the requests due now."""
     refresh_owners(table, site)
     wanted = demand(site, now) - site.in_flight - max(0, free_units(table, site))
     keys = _lender_keys(table, site, now)
-    for key, want in _spread(site, keys, max(0, wanted), now).items():
+    for key, want in _spread_demand(site, keys, max(0, wanted), now).items():
         loan = site.loans.get(key)
         if loan is None:
             loan = site.loans[key] = Loan()
-        if table.lenders[key].asked is None and _is_ask_due(loan, want, now):
-            wants.setdefault(key, []).append(_want(site, loan, want))
+        if table.lenders[key].requested_at is None and _is_request_due(loan, want, now):
+            wants.setdefault(key, []).append(_create_want(site, loan, want))
     for key in site.loans.keys() - keys:
         _return_loan(table, site, key, wants, now)
 
 
 def _lender_keys(table: CapsTable, site: Site, now: float) -> list[str]:
-    """Return the keys of a site's lenders in the order of asking.
+    """Return the keys of a site's lenders in the order in which they are asked.
 
-    Those that this host's view would choose, and those that the ledger tells, in the
-    own region, or that a host of another region has named lately.
+    These are the owners chosen from this host's view, plus the owners in the ledger
+    for a site of the own region, or those that a host of the site's region named
+    recently.
     """
     named: tuple[str, ...] = ()
     if site.region == table.host.region:
@@ -113,9 +114,9 @@
     elif now < site.named_until:
         named = site.named_owners
     keys = [owner_key(host.name, host.incarnation) for host in site.lenders]
-    others = {*keys, *named} - {table.me}
-    if len(others) > len(keys):
-        keys = rank(f"{site.name}/{table.me}", others)
+    peers = {*keys, *named} - {table.own_key}
+    if len(peers) > len(keys):
+        keys = rank(f"{site.name}/{table.own_key}", peers)
     for key in keys:
         if key not in table.lenders:
             lender = Lender(owner_name(key), owner_incarnation(key))
@@ -123,12 +124,14 @@
     return keys
 
 
-def _spread(site: Site, keys: list[str], wanted: int, now: float) -> dict[str, int]:
-    """Return how many units to want of each lender.
+def _spread_demand(
+    site: Site, keys: list[str], wanted: int, now: float
+) -> dict[str, int]:
+    """Return how many units to request from each lender.
 
-    First what is held already, so that asking one lender for more gives nothing back
-    to another; the rest from the first lender that is not short. A loan that could
-    not be renewed in time is no use and wanted elsewhere.
+    Units already on loan come first, so that a larger request to one lender returns
+    nothing to another; the rest comes from the first lender not in backoff. A loan
+    that was not renewed in time does not count, and its units are requested again.
     """
     wants = {key: 0 for key in keys if key in site.loans}
     for key in keys:
@@ -141,14 +144,14 @@
         return wants
     for key in keys:
         loan = site.loans.get(key)
-        if loan is None or now >= loan.short_until:
+        if loan is None or now >= loan.backoff_until:
             wants[key] = wants.get(key, 0) + wanted
             break
     return wants
 
 
-def _is_ask_due(loan: Loan, want: int, now: float) -> bool:
-    """Tell whether to ask for more, renew, or return what is not needed."""
+def _is_request_due(loan: Loan, want: int, now: float) -> bool:
+    """Return True if units must be requested, renewed or returned now."""
     if want > loan.units:
         return True
     if want and loan.start_until - now < LOAN_SECONDS / 2:
@@ -156,8 +159,8 @@
     return loan.counted > max(want, loan.in_flight)
 
 
-def _want(site: Site, loan: Loan, want: int) -> Want:
-    """Lower the loan to what is kept, before the lender is told so."""
+def _create_want(site: Site, loan: Loan, want: int) -> Want:
+    """Reduce the loan to the units kept before the lender may lend out the rest."""
     holding = max(loan.in_flight, min(loan.units, want))
     loan.units = min(loan.units, holding)
     loan.sent_holding = holding
@@ -172,22 +175,22 @@
     wants: dict[str, list[Want]],
     now: float,
 ) -> None:
-    """Give units back to a host that is no owner any more; forget what has ended."""
+    """Return units to a host that is no longer an owner; drop a loan that has ended."""
     loan = site.loans[key]
     if now > loan.end_until and not loan.in_flight:
         del site.loans[key]
         return
     lender = table.lenders[key]
-    if lender.asked is None and loan.counted > loan.in_flight:
-        wants.setdefault(key, []).append(_want(site, loan, 0))
+    if lender.requested_at is None and loan.counted > loan.in_flight:
+        wants.setdefault(key, []).append(_create_want(site, loan, 0))
 
 
 def _request(
     table: CapsTable, key: str, lender: Lender, wants: list[Want], now: float
 ) -> LoanRequest:
-    """Number a request and note when it was asked."""
+    """Create a numbered loan request and record when it was sent."""
     lender.sequence += 1
-    lender.asked = now
+    lender.requested_at = now
     lender.sites = tuple(want.site for want in wants)
     return LoanRequest(
         table.host.incarnation, lender.incarnation, lender.sequence, tuple(wants)
@@ -197,20 +200,20 @@
 def take_grant(
     table: CapsTable, sender: str, grant: LoanGrant, now: float
 ) -> list[str]:
-    """Take the units of a grant; return the sites that have more now.
+    """Apply a grant and return the sites that gained units.
 
-    Only the answer to the newest request counts. The loan runs from the time of
-    asking: the lender counts from when it granted, which is later, so however late
-    the grant comes, this host stops first.
+    Only the answer to the newest request counts. The loan runs from the time of the
+    request. The lender counts from when it granted, which is later, so this host
+    always stops first, however late the grant arrives.
     """
     key = owner_key(sender, grant.lender)
     lender = table.lenders.get(key)
     if lender is None or grant.borrower != table.host.incarnation:
         return []
-    if lender.asked is None or grant.sequence != lender.sequence:
+    if lender.requested_at is None or grant.sequence != lender.sequence:
         return []
-    start_until = lender.asked + LOAN_SECONDS
-    lender.asked = None
+    start_until = lender.requested_at + LOAN_SECONDS
+    lender.requested_at = None
     gained = []
     for granted in grant.granted:
         site = table.sites.get(granted.site)
@@ -219,18 +222,20 @@
             continue
         if granted.units > loan.units:
             gained.append(granted.site)
-            loan.short_seconds = 0.0
+            loan.backoff_seconds = 0.0
         if granted.units < loan.sent_want:
-            _back_off(loan, now, SHORT_SECONDS, SHORT_SECONDS_MAX)
+            _back_off(
+                loan, now, SHORTFALL_BACKOFF_SECONDS, SHORTFALL_BACKOFF_SECONDS_MAX
+            )
         loan.counted = max(granted.units, loan.sent_holding)
         loan.units = granted.units
-        loan.of = granted.limit
-        _lower_loan(loan, site.limit)
+        loan.lent_limit = granted.limit
+        _scale_loan(loan, site.limit)
         loan.start_until = start_until
         loan.request_seconds = grant.request_seconds
         loan.end_until = start_until + grant.request_seconds
         loan.lendable = granted.lendable
-        loan.answered = now
+        loan.answered_at = now
         if granted.owners:
             site.named_owners = granted.owners
             site.named_until = now + REDIRECT_SECONDS
@@ -238,41 +243,47 @@
 
 
 def set_limit(site: Site, limit: int) -> None:
-    """Take a site's limit; loans keep their part of a lower one."""
+    """Set a site's limit; loans are scaled down to a lower one."""
     site.limit = limit
     for loan in site.loans.values():
-        _lower_loan(loan, limit)
+        _scale_loan(loan, limit)
 
 
-def _lower_loan(loan: Loan, limit: int) -> None:
-    """Keep only the loan's part of a limit below the one that it was lent under.
+def _scale_loan(loan: Loan, limit: int) -> None:
+    """Scale a loan down to a limit below the one that it was lent under.
 
-    Loans from before may be used for seconds, and all of them together for the
-    higher limit. Their parts of the lower one, rounded down, sum to it at most.
+    Earlier loans may be used for seconds and add up to the higher limit. Their
+    proportional parts of the lower limit, rounded down, add up to it at most.
     """
-    if limit < loan.of:
-        loan.units = loan.units * limit // loan.of
-        loan.of = limit
+    if limit < loan.lent_limit:
+        loan.units = loan.units * limit // loan.lent_limit
+        loan.lent_limit = limit
 
 
-def drop_silent_requests(table: CapsTable, now: float) -> None:
-    """Pass over lenders that did not answer in time.
+def time_out_requests(table: CapsTable, now: float) -> None:
+    """Back off from lenders that did not answer in time.
 
-    Only here is a request given up: asking again before would hide the silence.
+    A request is abandoned only here: a new request to the same lender before its
+    timeout would hide that the lender does not answer.
     """
     for key, lender in table.lenders.items():
-        if lender.asked is None or now - lender.asked < ASK_TIMEOUT_SECONDS:
+        if (
+            lender.requested_at is None
+            or now - lender.requested_at < LOAN_REQUEST_TIMEOUT_SECONDS
+        ):
             continue
         for name in lender.sites:
             site = table.sites.get(name)
             loan = site.loans.get(key) if site is not None else None
             if loan is not None:
-                _back_off(loan, now, SILENT_SECONDS, SILENT_SECONDS_MAX)
+                _back_off(
+                    loan, now, TIMEOUT_BACKOFF_SECONDS, TIMEOUT_BACKOFF_SECONDS_MAX
+                )
                 loan.lendable = 0
-        lender.asked = None
+        lender.requested_at = None
 
 
 def _back_off(loan: Loan, now: float, least: float, most: float) -> None:
-    """Ask a lender for no more for a while, twice as long each time."""
-    loan.short_seconds = min(max(least, 2 * loan.short_seconds), most)
-    loan.short_until = now + loan.short_seconds
+    """Request no more units from a lender for a time that doubles on each failure."""
+    loan.backoff_seconds = min(max(least, 2 * loan.backoff_seconds), most)
+    loan.backoff_until = now + loan.backoff_seconds
--- a/packages/core/greengagepoint/caps/const.py
+++ b/packages/core/greengagepoint/caps/const.py
@@ -1,83 +1,84 @@
-"""Times and sizes that bound how rights are held and moved."""
+"""Times and sizes that bound how rights are kept and transferred."""
 
 from typing import Final
 
 REGION_KEY: Final = "*"
-"""Key of a region's own capacity beside its sites in the ledger."""
+"""Ledger key of the region's own capacity, next to the keys of its sites."""
 
 OWNERS_A_SITE: Final = 4
-WITNESSES: Final = 3
+WITNESSES_PER_OWNER: Final = 3
 
 LOAN_SECONDS: Final = 5.0
-"""How long after asking a borrower may start requests on a loan."""
+"""How long after its loan request a borrower may start requests on the loan."""
 
 CONFIRM_SECONDS: Final = 6.0
 """How long after its last confirmation an owner may use its share."""
 
 VOUCH_INTERVAL_SECONDS: Final = 2.0
 FENCE_SECONDS: Final = 1.0
-"""A longer gap between two ticks makes a host give up its rights."""
+"""A host whose ticks are further apart was paused and gives up its rights."""
 
 VOTE_AFTER_SECONDS: Final = 2.5 * VOUCH_INTERVAL_SECONDS
-"""How long an owner must be unseen before a witness votes it out."""
+"""How long an owner must have been unseen before a witness votes it out."""
 
 CLOCK_RATE_ERROR: Final = 0.01
-"""Bound on how much faster one host's clock runs than another's."""
+"""Upper bound on the relative rate difference of two hosts' clocks."""
 
 CLOCK_MARGIN_SECONDS: Final = 0.05
 
 RUN_END_SECONDS: Final = 0.25
-"""How long after its deadline a run may go on: the network's delay and the server's."""
+"""How long a request may run past its deadline: network and server delay."""
 
-ASK_TIMEOUT_SECONDS: Final = 1.0
-SHORT_SECONDS: Final = 0.25
-"""How long a lender that granted too little is not asked for more; then doubled."""
+LOAN_REQUEST_TIMEOUT_SECONDS: Final = 1.0
+SHORTFALL_BACKOFF_SECONDS: Final = 0.25
+"""First backoff after a lender granted less than wanted; doubles each time."""
 
-SHORT_SECONDS_MAX: Final = 2.0
-SILENT_SECONDS: Final = 4.0
-"""How long a lender that did not answer is asked for nothing new; then doubled."""
+SHORTFALL_BACKOFF_SECONDS_MAX: Final = 2.0
+TIMEOUT_BACKOFF_SECONDS: Final = 4.0
+"""First backoff after a lender did not answer in time; doubles each time."""
 
-SILENT_SECONDS_MAX: Final = 16.0
+TIMEOUT_BACKOFF_SECONDS_MAX: Final = 16.0
 
 DEMAND_WINDOW_SECONDS: Final = 0.5
-KEEP_SECONDS: Final = 5.0
-"""How long one unit is kept after the last request, to save the next one a wait."""
+IDLE_UNIT_SECONDS: Final = 5.0
+"""How long a unit is kept after the last request, so that the next need not wait."""
 
 REDIRECT_SECONDS: Final = 30.0
-"""How long a borrower relies on the owners that a host of the region named."""
+"""How long a borrower uses the owners that a host of the site's region named."""
 
-LENDABLE_AGE_SECONDS: Final = 5.0
+LENDABLE_MAX_AGE_SECONDS: Final = 5.0
 LEDGER_POLL_SECONDS: Final = 30.0
 STORE_RETRY_SECONDS: Final = 1.0
 HOSTS_AT_FULL_RETRY_RATE: Final = 16
-"""Up to so many hosts of a region each try a failed store once a second."""
+"""With up to this many hosts in a region, each retries a failed store every second."""
 
 HINT_RETRY_SECONDS: Final = 5.0
-HINT_SECONDS: Final = 300.0
-"""How long a peer's word of a later revision counts; hosts read at least as often."""
+HINT_TTL_SECONDS: Final = 300.0
+"""How long a later revision reported by a peer counts; hosts read at least as often."""
 
 LEDGER_POLL_OWNERS: Final = 100
-"""So many owners add as long again: a larger ledger is read less often."""
+"""This many owners add one poll interval, so a larger ledger is read less often."""
 
 PLAN_INTERVAL_SECONDS: Final = 0.5
-RECLAIM_RANK_SECONDS: Final = 0.5
-"""Spaces the hosts that could reclaim the same share, so that one does it."""
+RECLAIM_STAGGER_SECONDS: Final = 0.5
+"""Delay between the hosts that could reclaim the same share, so that one does it."""
 
 DEFAULT_REQUEST_SECONDS: Final = 30
 
 
 def lent_seconds(request_seconds: float) -> float:
-    """Return how long a lender counts a loan that is not renewed."""
+    """Return how many seconds a lender counts a loan that is not renewed."""
     longest = LOAN_SECONDS + request_seconds + RUN_END_SECONDS
     return longest * (1 + CLOCK_RATE_ERROR) + CLOCK_MARGIN_SECONDS
 
 
 def quarantine_seconds(request_seconds: float) -> float:
-    """Return how long a lost owner's share stays unused.
+    """Return for how many seconds a lost owner's share must stay unused.
 
-    The owner may use its share for ``CONFIRM_SECONDS`` after a witness's last word,
-    be paused for ``FENCE_SECONDS`` between its check and the send, and what it lent
-    last ends a loan and a request later.
+    The owner may use its share for ``CONFIRM_SECONDS`` after a witness last vouched
+    for it, and may pause for ``FENCE_SECONDS`` between its check and the send. Its
+    last loan then runs for ``LOAN_SECONDS``, and the last request on it until its
+    own deadline.
     """
     held = CONFIRM_SECONDS + FENCE_SECONDS + LOAN_SECONDS
     longest = held + request_seconds + RUN_END_SECONDS
@@ -85,10 +86,10 @@
 
 
 def store_retry_seconds(hosts: int) -> float:
-    """Return how long a host of a region waits after the store has failed.
+    """Return how many seconds a host waits before it retries a failed store.
 
-    In a long outage the ledger becomes due on every host. If each tried once a second,
-    a fleet of 4,900 would ask for more than twice what the store can take in the first
-    second after it is back, and again in each later one.
+    During a long outage the ledger becomes due on every host. If each retried once a
+    second, a fleet of 4,900 hosts would send more than twice the load that the store
+    can serve in the first second after its recovery, and in each later second.
     """
     return STORE_RETRY_SECONDS * max(1.0, hosts / HOSTS_AT_FULL_RETRY_RATE)
--- a/packages/core/greengagepoint/caps/departures.py
+++ b/packages/core/greengagepoint/caps/departures.py
@@ -1,4 +1,4 @@
-"""Take an operator's word that a host has left."""
+"""Track the hosts that have left according to an operator's drain."""
 
 from typing import NamedTuple
 
@@ -10,14 +10,14 @@
 
 
 class Departure(NamedTuple):
-    """A host and the time by which its drain says that it has left."""
+    """A host and the wall-clock time at which its drain ends with its departure."""
 
     host: str
     leave_milliseconds: int
 
 
 def planned_departures(configuration: Configuration) -> tuple[Departure, ...]:
-    """Return the hosts whose drains have a time of leaving."""
+    """Return the hosts whose drains have a departure time."""
     return tuple(
         Departure(drain.target, wall_milliseconds(drain.leave_at))
         for drain in configuration.drains.values()
@@ -28,11 +28,11 @@
 def update_departed(
     table: CapsTable, departures: tuple[Departure, ...], now_wall_ms: int
 ) -> None:
-    """Note which hosts have left by now.
+    """Record which hosts have left by now.
 
-    Their shares are reclaimed after the quarantine without votes: if the witnesses
-    of a host are lost together with it, nobody else could prove that it is gone. A
-    host that is named and still runs gives its rights up itself.
+    Their shares are reclaimed after the quarantine without votes: if a host is lost
+    together with its witnesses, nobody else could prove that it is lost. A departed
+    host that still runs gives up its rights itself.
     """
     departed = frozenset(
         departure.host
--- a/packages/core/greengagepoint/caps/ledger.py
+++ b/packages/core/greengagepoint/caps/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger of one region: which owner holds which part of each limit."""
+"""The ledger of one region, which records each owner's part of each limit."""
 
 from fractions import Fraction
 from math import floor
@@ -15,9 +15,9 @@
 class Holding(msgspec.Struct, frozen=True, array_like=True):
     """A part of a limit: ``units`` out of ``of``.
 
-    Kept as a part, so that a changed limit scales all owners alike without a write:
-    parts sum to at most one, hence units in use to at most the largest limit that
-    is still in force anywhere.
+    It is stored as a fraction, so that a changed limit scales all owners alike
+    without a write. The fractions sum to at most one, so the units in use never
+    exceed the largest limit that is still active on some host.
     """
 
     units: int
@@ -25,10 +25,11 @@
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """What one owner (host#incarnation) holds.
+    """The holdings of one owner (host#incarnation).
 
-    Only the owner itself makes its holdings smaller, before the write; all others may
-    only vote (by witness name) or remove the entry after the quarantine.
+    Only the owner itself reduces its holdings, and stops using them before the write.
+    Other hosts may only add or withdraw their vote (by witness name), or remove the
+    entry after the quarantine.
     """
 
     shares: dict[str, Holding]
@@ -53,17 +54,17 @@
 
 
 def owner_key(name: str, incarnation: int) -> str:
-    """Return the name under which one run of a host owns and borrows."""
+    """Return the key by which one incarnation of a host owns and borrows units."""
     return f"{name}#{incarnation}"
 
 
 def owner_name(key: str) -> str:
-    """Return the host of an owner."""
+    """Return the host name in an owner key."""
     return key.rpartition("#")[0]
 
 
 def owner_incarnation(key: str) -> int:
-    """Return the incarnation of an owner."""
+    """Return the incarnation in an owner key."""
     return int(key.rpartition("#")[2])
 
 
@@ -73,7 +74,7 @@
 
 
 def decode_ledger(value: bytes) -> Ledger:
-    """Decode a ledger from the store; raise StoreError on anything else."""
+    """Decode a ledger from the store; raise StoreError if it is invalid."""
     try:
         ledger = msgspec.json.decode(value, type=Ledger)
     except msgspec.DecodeError as error:
@@ -86,7 +87,7 @@
 
 
 def units_of(entry: Entry, key: str, limit: int) -> int:
-    """Return how many units of a limit an entry is worth."""
+    """Return how many units of a limit an entry grants, rounded down."""
     holding = entry.shares.get(key)
     if holding is None or holding.of <= 0:
         return 0
@@ -104,7 +105,7 @@
 
 
 def owners_by_key(ledger: Ledger) -> dict[str, tuple[str, ...]]:
-    """Return who holds a part of each limit."""
+    """Return the owners of each limit, sorted by key."""
     found: dict[str, list[str]] = {}
     for owner, entry in sorted(ledger.owners.items()):
         for key in entry.shares:
@@ -113,20 +114,21 @@
 
 
 def votes_needed(entry: Entry) -> int:
-    """Return how many witnesses must vote before an owner counts as lost."""
+    """Return how many witnesses must vote before an owner is voted out."""
     return len(entry.witnesses) // 2 + 1
 
 
 def vouches_needed(entry: Entry) -> int:
     """Return how many witnesses must vouch for an owner.
 
-    Any such set shares a witness with any set of voters, and a witness that has
-    voted does not vouch: an owner cannot be confirmed and voted out at once.
+    Any such set and any sufficient set of voters have a witness in common, and a
+    witness that has voted does not vouch. An owner can therefore never be confirmed
+    and voted out at the same time.
     """
     return len(entry.witnesses) - votes_needed(entry) + 1
 
 
 def is_voted_out(entry: Entry) -> bool:
-    """Tell whether enough listed witnesses have voted."""
+    """Return True if enough of the entry's witnesses have voted."""
     names = {owner_name(witness) for witness in entry.witnesses}
     return len(names & entry.votes.keys()) >= votes_needed(entry)
--- a/packages/core/greengagepoint/caps/messages.py
+++ b/packages/core/greengagepoint/caps/messages.py
@@ -1,4 +1,4 @@
-"""Messages with which hosts lend units and confirm each other's rights."""
+"""Messages by which hosts lend units and confirm each other's rights."""
 
 from typing import Final
 
@@ -6,7 +6,7 @@
 
 
 class Want(msgspec.Struct, frozen=True, array_like=True):
-    """What a borrower keeps of a site's loan (``holding``) and would like to have."""
+    """Units of a site that a borrower keeps (``holding``) and wants in total."""
 
     site: str
     holding: int
@@ -16,10 +16,10 @@
 class LoanRequest(
     msgspec.Struct, frozen=True, array_like=True, tag="caps.loan_request"
 ):
-    """Ask for units, renew them, and return what is above ``holding``.
+    """Request units, renew them, and return those above ``holding``.
 
-    ``sequence`` grows per pair of incarnations; the borrower takes only the grant
-    that answers its newest request, so ``holding`` replaces all earlier grants.
+    ``sequence`` increases per pair of incarnations. The borrower applies only the
+    grant for its newest request, so ``holding`` replaces all earlier grants.
     """
 
     borrower: int
@@ -31,8 +31,8 @@
 class Granted(msgspec.Struct, frozen=True, array_like=True):
     """Units on loan, and how many more the lender could lend.
 
-    A host that holds nothing of the site names its owners (host#incarnation).
-    ``limit`` is the site's as the lender has it, 0 if it does not tell.
+    A host without a share of the site names its owners (host#incarnation). ``limit``
+    is the site's limit in the lender's configuration, 0 if the lender sent none.
     """
 
     site: str
@@ -53,7 +53,7 @@
 
 
 class VouchRequest(msgspec.Struct, frozen=True, array_like=True, tag="caps.vouch_ask"):
-    """Ask a witness whether it has not voted this owner out."""
+    """Ask a witness to confirm that it has not voted this owner out."""
 
     owner: int
     witness: int
@@ -61,7 +61,7 @@
 
 
 class Vouch(msgspec.Struct, frozen=True, array_like=True, tag="caps.vouch"):
-    """Tell an owner that this witness had not voted it out when it answered."""
+    """Confirm that the witness had not voted the owner out when it replied."""
 
     owner: int
     witness: int
@@ -71,7 +71,7 @@
 class LedgerChanged(
     msgspec.Struct, frozen=True, array_like=True, tag="caps.ledger_changed"
 ):
-    """Tell that a region's ledger was changed; only saves waiting for a poll."""
+    """Announce a new ledger revision, which saves peers waiting for their next poll."""
 
     region: str
     revision: int
@@ -80,7 +80,7 @@
 class RegionUnitsWanted(
     msgspec.Struct, frozen=True, array_like=True, tag="caps.region_units_wanted"
 ):
-    """Ask a co-owner to free units of the region's capacity that it does not need."""
+    """Ask a co-owner to free unused units of the region's capacity."""
 
     region: str
     units: int
--- a/packages/core/greengagepoint/caps/permits.py
+++ b/packages/core/greengagepoint/caps/permits.py
@@ -1,18 +1,19 @@
-"""Take and give back one unit for one request; called for each request."""
+"""Acquire and release one unit for each request."""
 
-from greengagepoint.caps.const import FENCE_SECONDS, LENDABLE_AGE_SECONDS
+from greengagepoint.caps.const import FENCE_SECONDS, LENDABLE_MAX_AGE_SECONDS
 from greengagepoint.caps.tables import CapsTable, Loan, Permit, Site
 
 
 def acquire(
     table: CapsTable, site_name: str, deadline_seconds: float, now: float
 ) -> Permit | None:
-    """Return the right to one request, or None where nothing is at hand."""
+    """Return a permit for one request, or None if no unit is available."""
     site = table.sites.get(site_name)
     if site is None:
         return None
-    # A paused process that wakes would act on rights that others hold by now: its
-    # ticks stand still, so the gap is looked at here and not only at the next tick.
+    # A process that resumes after a pause may have lost its rights to other hosts.
+    # The gap since the last tick is checked here, as a request may come before the
+    # next tick.
     if now - table.last_tick > FENCE_SECONDS:
         site.refused += 1
         return None
@@ -28,10 +29,10 @@
 def _acquire_owned(
     table: CapsTable, site: Site, deadline_seconds: float, now: float
 ) -> Permit:
-    """Take a unit of this host's own share."""
+    """Acquire a unit of this host's own share."""
     site.in_flight += 1
     table.region_used += 1
-    _note_peak(site)
+    _update_peak(site)
     end_by = now + min(deadline_seconds, table.request_seconds)
     return Permit(site.name, "", now + FENCE_SECONDS, end_by)
 
@@ -39,16 +40,16 @@
 def _acquire_borrowed(
     site: Site, lender: str, loan: Loan, deadline_seconds: float, now: float
 ) -> Permit:
-    """Take a unit on loan."""
+    """Acquire a unit on loan."""
     loan.in_flight += 1
     site.borrowed_in_flight += 1
-    _note_peak(site)
+    _update_peak(site)
     end_by = min(now + deadline_seconds, loan.end_until)
     return Permit(site.name, lender, now + FENCE_SECONDS, end_by)
 
 
 def release(table: CapsTable, permit: Permit) -> None:
-    """Give back a unit; releasing a permit again does nothing."""
+    """Release a permit's unit; releasing a permit again does nothing."""
     if not permit.open:
         return
     permit.open = False
@@ -62,17 +63,18 @@
 
 
 def headroom(table: CapsTable, site_name: str, now: float) -> int:
-    """Return how many requests more this host could start toward a site now.
+    """Return how many more requests this host could start toward a site now.
 
-    Own free units, free units on loan, and what lenders lately said they could lend;
-    one for a lender that has not been asked yet, so that a new site is tried.
+    This sums own free units, free units on loan, and the units that lenders recently
+    reported as lendable. If that is 0 and some lender's answer is missing or too old,
+    the result is 1, so that a new site is tried.
     """
     site = table.sites.get(site_name)
     if site is None or now - table.last_tick > FENCE_SECONDS:
         return 0
     units = units_at_hand(table, site_name, now)
     for loan in site.loans.values():
-        if now - loan.answered <= LENDABLE_AGE_SECONDS:
+        if now - loan.answered_at <= LENDABLE_MAX_AGE_SECONDS:
             units += loan.lendable
     if not units and _has_unasked_lender(site, now):
         return 1
@@ -80,7 +82,7 @@
 
 
 def units_at_hand(table: CapsTable, site_name: str, now: float) -> int:
-    """Return how many requests could start now without asking anyone."""
+    """Return how many requests could start now without a loan request."""
     site = table.sites.get(site_name)
     if site is None or now - table.last_tick > FENCE_SECONDS:
         return 0
@@ -93,13 +95,13 @@
     return units
 
 
-def may_use_share(table: CapsTable, now: float) -> bool:
-    """Tell whether this host's rights are confirmed and it was not just paused."""
+def can_use_share(table: CapsTable, now: float) -> bool:
+    """Return True if this host's rights are confirmed and it was not just paused."""
     return now <= table.rights_until and now - table.last_tick <= FENCE_SECONDS
 
 
 def has_free_unit(table: CapsTable, site: Site) -> bool:
-    """Tell whether the own share has a unit of the site and one of the region."""
+    """Return True if the own share has a free unit of the site and of the region."""
     return (
         site.in_flight + site.lent < site.owned
         and table.region_used < table.region_owned
@@ -107,23 +109,23 @@
 
 
 def free_units(table: CapsTable, site: Site) -> int:
-    """Return units of the own share that are neither in use nor lent."""
+    """Return the units of the own share that are neither in use nor lent."""
     of_site = site.owned - site.in_flight - site.lent
     return min(of_site, table.region_owned - table.region_used)
 
 
 def _has_unasked_lender(site: Site, now: float) -> bool:
-    """Tell whether some lender's word is missing or too old to rely on."""
+    """Return True if some lender's answer is missing or older than the maximum age."""
     if not site.lenders:
         return False
-    answered = [loan.answered for loan in site.loans.values()]
+    answered = [loan.answered_at for loan in site.loans.values()]
     if len(answered) < len(site.lenders):
         return True
-    return now - min(answered) > LENDABLE_AGE_SECONDS
+    return now - min(answered) > LENDABLE_MAX_AGE_SECONDS
 
 
-def _note_peak(site: Site) -> None:
-    """Keep the most requests in flight in this window."""
+def _update_peak(site: Site) -> None:
+    """Update the peak of requests in flight in this demand window."""
     in_flight = site.in_flight + site.borrowed_in_flight
     if in_flight > site.peak:
         site.peak = in_flight
--- a/packages/core/greengagepoint/caps/planning.py
+++ b/packages/core/greengagepoint/caps/planning.py
@@ -1,4 +1,4 @@
-"""Plan the next change of the ledger: shares, witnesses, votes and removals."""
+"""Plan the next ledger write: shares, witnesses, votes and removals."""
 
 from typing import NamedTuple
 
@@ -7,7 +7,7 @@
 from greengagepoint.caps.const import (
     CONFIRM_SECONDS,
     DEMAND_WINDOW_SECONDS,
-    RECLAIM_RANK_SECONDS,
+    RECLAIM_STAGGER_SECONDS,
     REGION_KEY,
     VOTE_AFTER_SECONDS,
     VOUCH_INTERVAL_SECONDS,
@@ -28,14 +28,14 @@
     fair_units,
     refresh_owners,
 )
-from greengagepoint.caps.tables import CapsTable, DeadEvidence, is_behind
+from greengagepoint.caps.tables import CapsTable, LossEvidence, is_behind
 from greengagepoint.rendezvous import rank
 
 REGION_STEP = 4
 
 
 class Plan(NamedTuple):
-    """A ledger to be written over ``revision``; ``entry`` is this host's in it."""
+    """A ledger to write over ``revision``, with this host's ``entry`` in it."""
 
     ledger: Ledger
     revision: int
@@ -45,28 +45,29 @@
 
 
 def plan(table: CapsTable, now: float) -> Plan | None:
-    """Return the change this host wants, or None; needs the ledger to be read.
+    """Return the ledger write this host needs, or None if none is due.
 
-    Nothing is changed while a peer knows a later revision: the read was old, or the
-    store was restored and shows units as unowned that others hold.
+    Nothing is planned before the first read, or while a peer has seen a later
+    revision: then the read was stale, or the store was restored and shows units as
+    unowned that other hosts hold.
     """
     if table.revision < 0 or is_behind(table, now):
         return None
     owners = dict(table.ledger.owners)
     reclaimed = _reclaim(table, owners, now)
     voted = _vote(table, owners, now)
-    entry = _plan_own(table, Ledger(owners), now)
+    entry = _plan_own_entry(table, Ledger(owners), now)
     if entry is None:
-        owners.pop(table.me, None)
+        owners.pop(table.own_key, None)
     else:
-        owners[table.me] = entry
-    if owners == table.ledger.owners and not _must_confirm(table, now):
+        owners[table.own_key] = entry
+    if owners == table.ledger.owners and not _needs_confirming_write(table, now):
         return None
     return Plan(Ledger(owners), table.revision, entry, reclaimed, voted)
 
 
-def _must_confirm(table: CapsTable, now: float) -> bool:
-    """Tell whether a write must settle an earlier one, or confirm rights in time."""
+def _needs_confirming_write(table: CapsTable, now: float) -> bool:
+    """Return True if a write must settle a pending one or confirm rights in time."""
     if table.pending:
         return True
     if not table.entries or table.leaving or table.host.name in table.departed:
@@ -75,34 +76,36 @@
 
 
 def _reclaim(table: CapsTable, owners: dict[str, Entry], now: float) -> tuple[str, ...]:
-    """Remove owners that have surely ended all they may have started.
+    """Remove lost owners whose last permitted requests have certainly ended.
 
-    The quarantine runs from when this host first read the evidence and starts anew
-    with other votes: an owner that was voted out, came back and was voted out again
-    has used its share in between.
+    The quarantine starts when this host first reads the evidence and restarts with
+    new votes: an owner that was voted out, came back and was voted out again may have
+    used its share in between.
     """
     reclaimed = []
     for key in table.evidence.keys() - owners.keys():
         del table.evidence[key]
     for key, entry in list(owners.items()):
-        reason = _death_reason(table, key, entry)
+        reason = _loss_evidence(table, key, entry)
         if reason is None:
             table.evidence.pop(key, None)
             continue
         evidence = table.evidence.get(key)
         if evidence is None or evidence.reason != reason:
-            table.evidence[key] = DeadEvidence(reason, now)
+            table.evidence[key] = LossEvidence(reason, now)
             continue
-        wait = quarantine_seconds(entry.request_seconds) + _rank_seconds(table, key)
+        wait = quarantine_seconds(entry.request_seconds) + _reclaim_delay_seconds(
+            table, key
+        )
         if now - evidence.since >= wait:
             del owners[key]
             reclaimed.append(key)
     return tuple(reclaimed)
 
 
-def _death_reason(table: CapsTable, key: str, entry: Entry) -> str | None:
-    """Return what proves that an owner has lost its rights, or None."""
-    if key == table.me:
+def _loss_evidence(table: CapsTable, key: str, entry: Entry) -> str | None:
+    """Return the evidence that an owner has lost its rights, or None."""
+    if key == table.own_key:
         return None
     name = owner_name(key)
     if is_voted_out(entry):
@@ -112,57 +115,59 @@
     successor = table.live.get(name)
     if entry.witnesses or successor is None:
         return None
-    # Without witnesses nobody can vote; the next run of the same host proves that
-    # the process of this one has ended.
+    # Without witnesses nobody can vote. A later incarnation of the same host proves
+    # that the process of this one has ended.
     if successor.incarnation > owner_incarnation(key):
         return "restarted"
     return None
 
 
-def _rank_seconds(table: CapsTable, key: str) -> float:
-    """Return this host's delay among those that could reclaim the same share."""
+def _reclaim_delay_seconds(table: CapsTable, key: str) -> float:
+    """Return this host's delay by its rank among hosts that could reclaim the share."""
     names = [host.name for host in table.region_hosts.get(table.host.region, ())]
     order = rank(key, names)
     position = order.index(table.host.name) if table.host.name in order else len(order)
-    return position * RECLAIM_RANK_SECONDS
+    return position * RECLAIM_STAGGER_SECONDS
 
 
 def _vote(table: CapsTable, owners: dict[str, Entry], now: float) -> tuple[str, ...]:
-    """Vote out owners that are gone, and withdraw votes on those that are back."""
+    """Vote out owners that are unseen, and withdraw votes on those seen again."""
     voted = []
     for key, entry in list(owners.items()):
-        if key == table.me:
+        if key == table.own_key:
             continue
         votes = dict(entry.votes)
         unseen = now - table.seen_at.get(key, now)
         if unseen <= VOUCH_INTERVAL_SECONDS:
             votes.pop(table.host.name, None)
-        elif unseen >= VOTE_AFTER_SECONDS and _may_vote(table, entry):
+        elif unseen >= VOTE_AFTER_SECONDS and _can_vote(table, entry):
             table.votes_cast += 1
-            votes[table.host.name] = f"{table.me}.{table.votes_cast}"
+            votes[table.host.name] = f"{table.own_key}.{table.votes_cast}"
             voted.append(key)
         if votes != entry.votes:
             owners[key] = msgspec.structs.replace(entry, votes=votes)
     return tuple(voted)
 
 
-def _may_vote(table: CapsTable, entry: Entry) -> bool:
-    """Tell whether this host is a witness of an owner and its vote is missing."""
+def _can_vote(table: CapsTable, entry: Entry) -> bool:
+    """Return True if this host is a witness of an owner and has not voted yet."""
     if is_voted_out(entry) or table.host.name in entry.votes:
         return False
     names = {owner_name(witness) for witness in entry.witnesses}
     return table.host.name in names
 
 
-def _plan_own(table: CapsTable, ledger: Ledger, now: float) -> Entry | None:
-    """Return this host's next entry, or None when it needs none (any more)."""
-    entry = ledger.owners.get(table.me)
+def _plan_own_entry(table: CapsTable, ledger: Ledger, now: float) -> Entry | None:
+    """Return this host's next entry, or None if it needs none."""
+    entry = ledger.owners.get(table.own_key)
     if table.host.name in table.departed:
         return entry
     current = entry or Entry({})
     shares = {}
     for key, limit, target, used in _targets(table, current, now):
-        holding = _next_holding(ledger, table.me, current, key, limit, target, used)
+        holding = _next_holding(
+            ledger, table.own_key, current, key, limit, target, used
+        )
         if holding is not None and holding.units:
             shares[key] = holding
     if not shares:
@@ -170,9 +175,9 @@
     return Entry(
         shares,
         choose_witnesses(table, current.witnesses),
-        max(current.request_seconds, table.wanted_request_seconds),
-        # A leaving host is voted out in the end and does not object: what it could
-        # not hand over is reclaimed after the quarantine.
+        max(current.request_seconds, table.configured_request_seconds),
+        # A leaving host keeps the votes against it: the units that it could not hand
+        # over are reclaimed after the quarantine.
         current.votes if table.leaving else {},
     )
 
@@ -180,7 +185,7 @@
 def _targets(
     table: CapsTable, entry: Entry, now: float
 ) -> list[tuple[str, int, int, int]]:
-    """List (key, limit, target units, used units) for all this host may hold."""
+    """List (key, limit, target units, used units) of each limit open to this host."""
     rows = []
     own_sum = 0
     limits_sum = 0
@@ -208,9 +213,9 @@
         return own_sum
     held = units_of(entry, REGION_KEY, capacity)
     used = table.region_used
-    if table.region_asked_away:
-        return max(used, held - table.region_asked_away)
-    if now - table.region_short_at <= DEMAND_WINDOW_SECONDS:
+    if table.region_units_requested:
+        return max(used, held - table.region_units_requested)
+    if now - table.region_exhausted_at <= DEMAND_WINDOW_SECONDS:
         return max(held, used + max(REGION_STEP, used // REGION_STEP))
     if now < table.region_yields_until:
         return held
@@ -219,25 +224,25 @@
 
 def _next_holding(
     ledger: Ledger,
-    me: str,
+    own_key: str,
     entry: Entry,
     key: str,
     limit: int,
     target: int,
     used: int,
 ) -> Holding | None:
-    """Return the next part of one limit: claimed from what is unowned, or released."""
+    """Return the next holding of one limit: grown from unowned units, or reduced."""
     holding = entry.shares.get(key)
     units = units_of(entry, key, limit)
-    # Requests from before a limit was lowered may still run: the part that covers
-    # them stays, or it would be used twice once the limit is raised again.
+    # Requests from before a limit was lowered may still run. The holding that covers
+    # them stays, or its units would be used twice once the limit is raised again.
     if limit <= 0 or used > units:
         return holding
     if units > target:
         return Holding(max(target, used), limit)
     if units < target:
-        others = Ledger({k: e for k, e in ledger.owners.items() if k != me})
-        units = max(units, min(target, unowned_units(others, key, limit)))
+        other_owners = Ledger({k: e for k, e in ledger.owners.items() if k != own_key})
+        units = max(units, min(target, unowned_units(other_owners, key, limit)))
     if holding is not None and holding.units == units and holding.of == limit:
         return holding
     return Holding(units, limit)
--- a/packages/core/greengagepoint/caps/rights.py
+++ b/packages/core/greengagepoint/caps/rights.py
@@ -1,4 +1,4 @@
-"""Keep or give up the right to use this host's share."""
+"""Confirm or give up the right to use this host's share."""
 
 from math import inf
 from typing import NamedTuple
@@ -24,90 +24,93 @@
 from greengagepoint.caps.tables import CapsTable, Pending
 
 
-class Observed(NamedTuple):
-    """What a read of the ledger showed; ``changed`` if this host's share changed."""
+class LedgerApplied(NamedTuple):
+    """Whether a read ledger was accepted, and whether this host's entry changed."""
 
     accepted: bool
     changed: bool
 
 
-def observe(table: CapsTable, ledger: Ledger, revision: int, now: float) -> Observed:
-    """Take the ledger as read (revision 0: absent).
+def observe(
+    table: CapsTable, ledger: Ledger, revision: int, now: float
+) -> LedgerApplied:
+    """Apply a ledger read from the store (revision 0: absent).
 
-    A read confirms no rights, as the store may serve an old one; a write does. A
-    revision older than one already seen is an old read or a restored store, and is
-    not taken: it would bring back shares that were given away.
+    A read confirms no rights, because the store may serve a stale ledger; a write
+    does. A revision older than one already seen comes from a stale read or a restored
+    store. It is rejected, as it would bring back shares that were given away.
     """
-    if revision < table.revision or _is_foreign(table, ledger):
-        return Observed(False, False)
-    before = table.ledger.owners.get(table.me)
+    if revision < table.revision or _has_foreign_share(table, ledger):
+        return LedgerApplied(False, False)
+    before = table.ledger.owners.get(table.own_key)
     table.ledger = ledger
     table.revision = revision
     table.read_at = now
-    # A write based on an earlier revision can't take effect any more; one based on
-    # this revision still can, although its reply was lost.
+    # A pending write based on an earlier revision can no longer take effect; one
+    # based on this revision still can, even if its reply was lost.
     table.pending = [p for p in table.pending if p.base_revision >= revision]
-    entry = ledger.owners.get(table.me)
+    entry = ledger.owners.get(table.own_key)
     for key, base in list(table.voted.items()):
         owner = ledger.owners.get(key)
         if base < revision and (owner is None or table.host.name not in owner.votes):
             del table.voted[key]
     refresh_entries(table)
     refresh_rights(table)
-    return Observed(True, before != entry)
+    return LedgerApplied(True, before != entry)
 
 
-def _is_foreign(table: CapsTable, ledger: Ledger) -> bool:
-    """Tell whether a ledger holds a share for this host that it never wrote.
+def _has_foreign_share(table: CapsTable, ledger: Ledger) -> bool:
+    """Return True if a ledger has a share for this host that it never wrote.
 
-    Only the host itself changes its share. Another one comes from a store that was
-    restored and written to since; taking it would use units that others hold.
+    Only the host itself changes its share. An unknown share comes from a store that
+    was restored and then written to; using it would use units that peers hold.
     """
-    entry = ledger.owners.get(table.me)
+    entry = ledger.owners.get(table.own_key)
     if entry is None or table.revision < 0:
         return False
     known = [pending.entry for pending in table.pending]
-    if table.me in table.ledger.owners:
-        known.append(table.ledger.owners[table.me])
+    if table.own_key in table.ledger.owners:
+        known.append(table.ledger.owners[table.own_key])
     return all(entry.shares != own.shares for own in known)
 
 
 def begin_write(table: CapsTable, plan: Plan) -> None:
-    """Give up what a write gives up, before it is sent.
+    """Apply the reductions of a planned write before it is sent.
 
-    Until the write is settled, the smaller part of each share holds, and the owners
-    voted out get no vouch: the write may take effect and its reply be lost.
+    The write may take effect although its reply is lost. Until its outcome is known,
+    the smaller value of each share applies and owners voted out get no vouch.
     """
-    gone = Entry({}, request_seconds=table.request_seconds)
-    pending = Pending(plan.revision, plan.entry or gone)
+    emptied = Entry({}, request_seconds=table.request_seconds)
+    pending = Pending(plan.revision, plan.entry or emptied)
     if pending not in table.pending:
         table.pending.append(pending)
     for key in plan.voted:
         table.voted[key] = plan.revision
-    table.region_asked_away = 0
+    table.region_units_requested = 0
     refresh_entries(table)
     refresh_rights(table)
 
 
-def confirm_write(table: CapsTable, entry: Entry | None, asked: float) -> None:
-    """Count a write that the store accepted, from when it was sent.
+def confirm_write(table: CapsTable, entry: Entry | None, sent_at: float) -> None:
+    """Confirm rights by a write that the store accepted, from when it was sent.
 
-    It took effect on the newest revision, and the entry in it bears no votes.
+    The write took effect on the newest revision, in which the entry is not voted out.
     """
     if entry is not None and not is_voted_out(entry):
-        table.write_confirmed = asked
+        table.write_confirmed_at = sent_at
         table.paused = False
         refresh_rights(table)
 
 
 def refresh_entries(table: CapsTable) -> None:
-    """Work out this host's units anew after the ledger or the limits changed."""
-    entry = table.ledger.owners.get(table.me)
+    """Recompute this host's units after a change of the ledger or the limits."""
+    entry = table.ledger.owners.get(table.own_key)
     if entry is None:
         table.entries = ()
     else:
         table.entries = (entry, *(pending.entry for pending in table.pending))
-    # A longer deadline is used only after the ledger tells reclaimers of it.
+    # A longer deadline is used only once the ledger holds it, as hosts that reclaim
+    # the share compute the quarantine from the ledger.
     longest = (entry.request_seconds for entry in table.entries)
     table.request_seconds = max(table.request_seconds, min(longest, default=0))
     for site in table.sites.values():
@@ -118,45 +121,45 @@
 
 
 def _least_units(table: CapsTable, key: str, limit: int) -> int:
-    """Return the units that this host has whichever write took effect."""
+    """Return the units that this host has, whichever of the pending writes applied."""
     return min((units_of(entry, key, limit) for entry in table.entries), default=0)
 
 
 def refresh_rights(table: CapsTable) -> None:
-    """Work out until when this host may use its share."""
+    """Recompute until when this host may use its share."""
     if not table.entries or table.host.name in table.departed:
         table.rights_until = -inf
         return
     vouched = min(_vouched_at(table, entry) for entry in table.entries)
-    table.rights_until = max(vouched, table.write_confirmed) + CONFIRM_SECONDS
+    table.rights_until = max(vouched, table.write_confirmed_at) + CONFIRM_SECONDS
 
 
 def _vouched_at(table: CapsTable, entry: Entry) -> float:
-    """Return the time of asking since which enough witnesses have vouched."""
+    """Return the latest request time for which enough witnesses have vouched."""
     needed = vouches_needed(entry)
     if not entry.witnesses:
-        # Nobody may vote this host out, so nobody needs to vouch for it. After a
-        # pause it must write first, as it may have been replaced meanwhile.
+        # Without witnesses nobody can vote this host out, so it needs no vouch. After
+        # a pause it must write first, as it may have been replaced meanwhile.
         return -inf if table.paused else inf
-    asked = [table.vouched.get(witness, -inf) for witness in entry.witnesses]
-    return sorted(asked, reverse=True)[needed - 1]
+    sent_at = [table.vouched.get(witness, -inf) for witness in entry.witnesses]
+    return sorted(sent_at, reverse=True)[needed - 1]
 
 
 def check_fence(table: CapsTable, now: float) -> bool:
-    """Tell whether this host was paused; if so, give up its rights until confirmed."""
+    """Return True if this host was paused, and drop its rights until confirmed."""
     gap = now - table.last_tick
     table.last_tick = now
     if gap <= FENCE_SECONDS or gap == inf:
         return False
     table.paused = True
     table.vouched.clear()
-    table.vouch_asked.clear()
-    table.write_confirmed = -inf
+    table.vouch_requests.clear()
+    table.write_confirmed_at = -inf
     refresh_rights(table)
     return True
 
 
-def ask_witnesses(table: CapsTable, now: float) -> list[Outgoing]:
+def request_vouches(table: CapsTable, now: float) -> list[Outgoing]:
     """Ask the witnesses named in the ledger to vouch for this host."""
     if now < table.next_vouch or not table.entries:
         return []
@@ -165,7 +168,7 @@
     witnesses = {w for entry in table.entries for w in entry.witnesses}
     messages = []
     for witness in sorted(witnesses):
-        table.vouch_asked[witness] = (table.vouch_sequence, now)
+        table.vouch_requests[witness] = (table.vouch_sequence, now)
         request = VouchRequest(
             table.host.incarnation, owner_incarnation(witness), table.vouch_sequence
         )
@@ -176,9 +179,9 @@
 def answer_vouch(
     table: CapsTable, owner: str, request: VouchRequest, now: float
 ) -> Vouch | None:
-    """Vouch for an owner, unless this host has voted it out or holds it for departed.
+    """Vouch for an owner that this host has not voted out and that has not departed.
 
-    A vote counts from before its write is sent, as its reply may be lost.
+    A vote counts from before its write is sent, as the reply may be lost.
     """
     if request.witness != table.host.incarnation:
         return None
@@ -189,19 +192,19 @@
 
 
 def take_vouch(table: CapsTable, sender: str, vouch: Vouch) -> None:
-    """Count a witness's word from when it was asked for."""
+    """Record a vouch; it counts from the time of its request."""
     witness = f"{sender}#{vouch.witness}"
-    sequence, asked = table.vouch_asked.get(witness, (0, -inf))
+    sequence, sent_at = table.vouch_requests.get(witness, (0, -inf))
     if vouch.owner != table.host.incarnation or vouch.sequence != sequence:
         return
-    table.vouched[witness] = asked
+    table.vouched[witness] = sent_at
     refresh_rights(table)
 
 
 def take_hint(
     table: CapsTable, changed: LedgerChanged, now: float
 ) -> LedgerChanged | None:
-    """Note that a peer has seen a revision; return the own one if it is later."""
+    """Record a revision seen by a peer; return this host's revision if it is later."""
     if changed.region != table.host.region:
         return None
     if changed.revision < table.revision:
--- a/packages/core/greengagepoint/caps/status.py
+++ b/packages/core/greengagepoint/caps/status.py
@@ -1,4 +1,4 @@
-"""Sum up caps for operators."""
+"""Report the state of caps to operators."""
 
 from typing import TypedDict
 
@@ -7,7 +7,7 @@
 
 
 class SiteStatus(TypedDict):
-    """One site as this host sees it; all but ``limit`` are this host's part."""
+    """One site in this host's view; all numbers but ``limit`` are this host's part."""
 
     site: str
     region: str
@@ -31,7 +31,7 @@
 
 
 class CapsStatus(TypedDict):
-    """Rights, own region and sites of one host."""
+    """The rights, the region's share and the sites of one host."""
 
     rights: bool
     ledger_revision: int
@@ -40,7 +40,7 @@
 
 
 def status(table: CapsTable, now: float) -> CapsStatus:
-    """Return what this host holds; sums over hosts give the use of each cap."""
+    """Return this host's state; sums over all hosts give the use of each cap."""
     sites = [
         SiteStatus(
             site=site.name,
@@ -71,7 +71,7 @@
 
 
 def _reason(table: CapsTable, name: str, now: float) -> str:
-    """Tell why nothing can be started toward a site, or nothing."""
+    """Return why no request can start toward a site, or an empty string."""
     site = table.sites[name]
     if headroom(table, name, now) > 0:
         return ""
--- a/packages/core/greengagepoint/caps/system.py
+++ b/packages/core/greengagepoint/caps/system.py
@@ -1,13 +1,13 @@
-"""Run caps each tick, and take changes of configuration."""
+"""Run caps on each tick, and apply changes of the configuration."""
 
 from typing import Any, NamedTuple
 
 from greengagepoint.caps.borrowing import (
     Outgoing,
     ask,
-    drop_silent_requests,
     roll_demand,
     set_limit,
+    time_out_requests,
 )
 from greengagepoint.caps.const import (
     DEFAULT_REQUEST_SECONDS,
@@ -19,15 +19,15 @@
     REGION_KEY,
 )
 from greengagepoint.caps.ledger import owner_name
-from greengagepoint.caps.lending import expire_loans, note_starved
+from greengagepoint.caps.lending import expire_loans, record_shortage
 from greengagepoint.caps.messages import RegionUnitsWanted
 from greengagepoint.caps.owners import is_live
 from greengagepoint.caps.planning import REGION_STEP, plan
 from greengagepoint.caps.rights import (
-    ask_witnesses,
     check_fence,
     refresh_entries,
     refresh_rights,
+    request_vouches,
 )
 from greengagepoint.caps.tables import CapsTable, Site, is_behind
 from greengagepoint.configuration import Configuration
@@ -37,7 +37,7 @@
 REGION_YIELD_SECONDS = 5.0
 
 
-class Happened(NamedTuple):
+class EventRecord(NamedTuple):
     """One event to record."""
 
     event: Event
@@ -45,39 +45,39 @@
 
 
 class Commands(NamedTuple):
-    """What the node carries out after a tick; ``sync`` asks for a ledger exchange."""
+    """Actions for the node after a tick; ``sync`` requests a ledger exchange."""
 
     messages: list[Outgoing]
-    events: list[Happened]
+    events: list[EventRecord]
     sync: bool
 
 
 def run(table: CapsTable, now: float) -> Commands:
-    """Keep rights, expire and renew loans, and tell whether the ledger needs work."""
+    """Check rights, expire and renew loans, and return what the node must do."""
     events = []
     if check_fence(table, now):
-        events.append(Happened(Event.FENCED, {}))
+        events.append(EventRecord(Event.FENCED, {}))
     expired = expire_loans(table, now)
     if expired:
-        events.append(Happened(Event.LOAN_EXPIRED, {"units": expired}))
-    drop_silent_requests(table, now)
-    _note_shortage(table, now)
-    messages = ask_witnesses(table, now)
+        events.append(EventRecord(Event.LOAN_EXPIRED, {"units": expired}))
+    time_out_requests(table, now)
+    _record_own_shortages(table, now)
+    messages = request_vouches(table, now)
     messages += ask(table, _active_sites(table, now), now)
-    messages += _ask_region_units(table, now)
+    messages += _request_region_units(table, now)
     events += _rights_events(table, now)
     return Commands(messages, events, _needs_ledger(table, now))
 
 
 def yield_region_units(table: CapsTable, units: int, now: float) -> None:
     """Free units of the region's capacity for a co-owner with the next plan."""
-    table.region_asked_away = max(0, units)
+    table.region_units_requested = max(0, units)
     table.region_yields_until = now + REGION_YIELD_SECONDS
     table.next_plan = now
 
 
 def configure(table: CapsTable, configuration: Configuration) -> None:
-    """Take limits from a configuration; a site without record gets nothing new."""
+    """Apply the limits of a configuration; a site without a record gets limit 0."""
     limits = site_limits(configuration)
     for name, record in configuration.sites.items():
         site = table.sites.get(name)
@@ -94,16 +94,16 @@
             del table.sites[name]
     region = configuration.regions.get(table.host.region)
     table.region_capacity = region.capacity if region is not None else 0
-    # Never smaller within one run: what was started or lent before still counts.
-    table.wanted_request_seconds = max(
-        table.wanted_request_seconds, _request_seconds(configuration)
+    # Never reduced while the process runs, as earlier requests and loans still count.
+    table.configured_request_seconds = max(
+        table.configured_request_seconds, _request_seconds(configuration)
     )
     refresh_entries(table)
     refresh_rights(table)
 
 
 def site_limits(configuration: Configuration) -> dict[str, int]:
-    """Return the smaller of capacity and caps for each site."""
+    """Return the smallest of the capacity and the caps of each site."""
     limits = {name: site.capacity for name, site in configuration.sites.items()}
     for cap in configuration.caps.values():
         if cap.site in limits:
@@ -112,7 +112,7 @@
 
 
 def _move_site(table: CapsTable, site: Site, region: str, limit: int) -> None:
-    """Move a site to another region's ledger once nothing here uses it."""
+    """Move a site to another region once this host neither uses nor lends its units."""
     if _is_in_use(site):
         set_limit(site, 0)
         return
@@ -120,9 +120,9 @@
 
 
 def _is_in_use(site: Site) -> bool:
-    """Tell whether units of a site are in flight or on loan."""
-    lent_or_own = site.in_flight + site.lent + site.borrowed_in_flight
-    return bool(lent_or_own or any(loan.counted for loan in site.loans.values()))
+    """Return True if units of a site are in flight, lent or borrowed."""
+    used_units = site.in_flight + site.lent + site.borrowed_in_flight
+    return bool(used_units or any(loan.counted for loan in site.loans.values()))
 
 
 def _request_seconds(configuration: Configuration) -> int:
@@ -135,7 +135,7 @@
 
 
 def _active_sites(table: CapsTable, now: float) -> list[str]:
-    """Return sites with demand or loans, after rolling their demand windows."""
+    """Return the sites with demand or loans, and roll their demand windows."""
     names = []
     for site in table.sites.values():
         if not (site.refused or site.peak or site.recent_peak or site.loans):
@@ -145,49 +145,49 @@
     return names
 
 
-def _note_shortage(table: CapsTable, now: float) -> None:
-    """Note own requests that found no unit, of a site or of the region."""
+def _record_own_shortages(table: CapsTable, now: float) -> None:
+    """Record shortages of site or region units that rejected own requests."""
     if not table.has_rights:
         return
     for site in table.sites.values():
         if not site.refused or not site.owned:
             continue
-        note_starved(site, table.me, now)
+        record_shortage(site, table.own_key, now)
         if site.in_flight + site.lent < site.owned:
-            table.region_short_at = now
+            table.region_exhausted_at = now
 
 
-def _ask_region_units(table: CapsTable, now: float) -> list[Outgoing]:
-    """Ask one co-owner a second, in turn, for spare units of the region."""
-    if now - table.region_short_at > DEMAND_WINDOW_SECONDS:
+def _request_region_units(table: CapsTable, now: float) -> list[Outgoing]:
+    """Ask co-owners in turn, at most one per demand window, for region units."""
+    if now - table.region_exhausted_at > DEMAND_WINDOW_SECONDS:
         return []
-    if now - table.region_wanted_at < DEMAND_WINDOW_SECONDS:
+    if now - table.region_requested_at < DEMAND_WINDOW_SECONDS:
         return []
-    others = [
+    peers = [
         owner_name(key)
         for key, entry in sorted(table.ledger.owners.items())
-        if key != table.me and REGION_KEY in entry.shares and is_live(table, key)
+        if key != table.own_key and REGION_KEY in entry.shares and is_live(table, key)
     ]
-    if not others:
+    if not peers:
         return []
-    table.region_wanted_at = now
-    table.region_turn += 1
+    table.region_requested_at = now
+    table.region_peer_turn += 1
     units = max(REGION_STEP, table.region_used // REGION_STEP)
     message = RegionUnitsWanted(table.host.region, units)
-    return [Outgoing(others[table.region_turn % len(others)], message)]
+    return [Outgoing(peers[table.region_peer_turn % len(peers)], message)]
 
 
-def _rights_events(table: CapsTable, now: float) -> list[Happened]:
-    """Record when rights are lost; gaining them shows as a ledger change."""
+def _rights_events(table: CapsTable, now: float) -> list[EventRecord]:
+    """Return an event if rights were lost; gaining them shows as a ledger change."""
     had_rights = table.has_rights
     table.has_rights = now <= table.rights_until
     if had_rights and not table.has_rights:
-        return [Happened(Event.RIGHTS_GIVEN_UP, {"region": table.host.region})]
+        return [EventRecord(Event.RIGHTS_GIVEN_UP, {"region": table.host.region})]
     return []
 
 
 def _needs_ledger(table: CapsTable, now: float) -> bool:
-    """Tell whether to read the ledger, or to change it."""
+    """Return True if the ledger must be read or written."""
     size = len(table.ledger.owners) / LEDGER_POLL_OWNERS
     if now - table.read_at >= LEDGER_POLL_SECONDS * (1 + size):
         return True
@@ -201,5 +201,5 @@
     table.next_plan = now + PLAN_INTERVAL_SECONDS
     if plan(table, now) is not None:
         return True
-    table.region_asked_away = 0
+    table.region_units_requested = 0
     return False
--- a/packages/core/greengagepoint/caps/tables.py
+++ b/packages/core/greengagepoint/caps/tables.py
@@ -1,4 +1,4 @@
-"""Entities of caps: sites, loans, borrowers and this host's own share."""
+"""State of caps: sites, loans, borrowers and this host's own share."""
 
 from dataclasses import dataclass, field
 from math import inf
@@ -6,16 +6,16 @@
 
 import msgspec
 
-from greengagepoint.caps.const import HINT_SECONDS
+from greengagepoint.caps.const import HINT_TTL_SECONDS
 from greengagepoint.caps.ledger import EMPTY_LEDGER, Entry, Ledger, owner_key
 from greengagepoint.hosts import HostIdentity
 
 
 class Permit(msgspec.Struct, gc=False):
-    """The right to one request toward a site.
+    """The right to send one request to a site.
 
-    The request must be sent before ``start_by`` and be over at ``end_by`` (monotonic
-    seconds); ``lender`` is empty for a unit of this host's own share.
+    The request must be sent by ``start_by`` and end by ``end_by`` (monotonic seconds).
+    ``lender`` is empty for a unit of this host's own share.
     """
 
     site: str
@@ -29,13 +29,13 @@
 class Loan:
     """Units borrowed from one lender for one site.
 
-    ``counted`` is the most the lender may count as lent; ``sent_holding`` and
-    ``sent_want`` are those of the newest request; ``of`` is the site's limit that
-    ``units`` were lent under.
+    ``counted`` is the most that the lender may count as lent; ``sent_holding`` and
+    ``sent_want`` are those of the newest request; ``lent_limit`` is the site's limit
+    under which ``units`` were lent.
     """
 
     units: int = 0
-    of: int = 0
+    lent_limit: int = 0
     counted: int = 0
     sent_holding: int = 0
     sent_want: int = 0
@@ -44,16 +44,17 @@
     end_until: float = -inf
     request_seconds: float = 0.0
     lendable: int = 0
-    answered: float = -inf
-    short_until: float = -inf
-    short_seconds: float = 0.0
+    answered_at: float = -inf
+    backoff_until: float = -inf
+    backoff_seconds: float = 0.0
 
 
 @dataclass(slots=True)
 class Site:
-    """One site: its limit, this host's part of it and what is in use.
+    """One site: its limit, this host's units and those in use.
 
-    ``owned`` is what the ledger gives this host, ``lent`` what others hold of it.
+    ``owned`` are the units that the ledger grants this host, ``lent`` those of them
+    that are on loan to peers.
     """
 
     name: str
@@ -69,8 +70,8 @@
     recent_peak: int = 0
     window_start: float = -inf
     active_at: float = -inf
-    starved_at: float = -inf
-    starved_by: str = ""
+    shortage_at: float = -inf
+    shortage_by: str = ""
     owners: tuple[HostIdentity, ...] = ()
     lenders: tuple[HostIdentity, ...] = ()
     owners_version: int = -1
@@ -80,18 +81,18 @@
 
 @dataclass(slots=True)
 class Lender:
-    """The exchange with one lender; at most one request is outstanding."""
+    """The state of requests to one lender; at most one is outstanding."""
 
     host: str
     incarnation: int
     sequence: int = 0
-    asked: float | None = None
+    requested_at: float | None = None
     sites: tuple[str, ...] = ()
 
 
 @dataclass(slots=True)
 class Lent:
-    """Units one borrower may still use, until it says otherwise or ``expires``."""
+    """Units one borrower may use until its next request or ``expires``."""
 
     units: int
     expires: float
@@ -100,22 +101,22 @@
 
 @dataclass(slots=True)
 class Borrower:
-    """The exchange with one borrower."""
+    """The loans to one borrower and its newest request."""
 
     last_sequence: int = 0
     lent: dict[str, Lent] = field(default_factory=dict)
-    heard: float = -inf
+    last_request_at: float = -inf
 
 
 class Pending(NamedTuple):
-    """A ledger write whose outcome is not known yet, and this host's entry in it."""
+    """A ledger write of unknown outcome, with this host's entry in it."""
 
     base_revision: int
     entry: Entry
 
 
-class DeadEvidence(NamedTuple):
-    """Why an owner counts as lost, and since when this host has known."""
+class LossEvidence(NamedTuple):
+    """Why an owner counts as lost, and when this host first read that."""
 
     reason: str
     since: float
@@ -123,26 +124,26 @@
 
 @dataclass(slots=True)
 class CapsTable:
-    """Everything one host knows of caps."""
+    """The state of caps on one host."""
 
     host: HostIdentity
-    me: str
+    own_key: str
     sites: dict[str, Site] = field(default_factory=dict)
-    # Capacity of this host's own region and its part of it.
+    # Capacity of this host's region, and this host's share of it.
     region_capacity: int = 0
     region_owned: int = 0
     region_used: int = 0
-    region_short_at: float = -inf
-    region_asked_away: int = 0
+    region_exhausted_at: float = -inf
+    region_units_requested: int = 0
     region_yields_until: float = -inf
-    region_wanted_at: float = -inf
-    region_turn: int = 0
-    # The longest request: as the ledger allows it, and as configured.
+    region_requested_at: float = -inf
+    region_peer_turn: int = 0
+    # Longest request in seconds: as recorded in the ledger, and as configured.
     request_seconds: int = 0
-    wanted_request_seconds: int = 0
-    # The ledger as last read.
+    configured_request_seconds: int = 0
+    # Last ledger read.
     ledger: Ledger = EMPTY_LEDGER
-    # Owners by limit, and the ledger that they were taken from.
+    # Owners by limit, cached for ``owners_ledger``.
     owners: dict[str, tuple[str, ...]] = field(default_factory=dict)
     owners_ledger: Ledger = EMPTY_LEDGER
     revision: int = -1
@@ -151,25 +152,25 @@
     hinted_at: float = -inf
     next_hint_read: float = -inf
     pending: list[Pending] = field(default_factory=list)
-    # Rights: what confirms this host's share.
+    # Rights to this host's share, and what confirms them.
     entries: tuple[Entry, ...] = ()
-    write_confirmed: float = -inf
+    write_confirmed_at: float = -inf
     paused: bool = False
     vouched: dict[str, float] = field(default_factory=dict)
-    vouch_asked: dict[str, tuple[int, float]] = field(default_factory=dict)
+    vouch_requests: dict[str, tuple[int, float]] = field(default_factory=dict)
     vouch_sequence: int = 0
     next_vouch: float = -inf
     rights_until: float = -inf
     has_rights: bool = False
     last_tick: float = -inf
     leaving: bool = False
-    # Witness work: owners voted out, by base revision of the vote's write.
+    # As a witness: owners voted out, with the revision that the vote was based on.
     voted: dict[str, int] = field(default_factory=dict)
     seen_at: dict[str, float] = field(default_factory=dict)
-    evidence: dict[str, DeadEvidence] = field(default_factory=dict)
+    evidence: dict[str, LossEvidence] = field(default_factory=dict)
     departed: frozenset[str] = frozenset()
     votes_cast: int = 0
-    # The other ends.
+    # Peers.
     live: dict[str, HostIdentity] = field(default_factory=dict)
     region_hosts: dict[str, tuple[HostIdentity, ...]] = field(default_factory=dict)
     live_version: int = 0
@@ -179,15 +180,15 @@
 
 
 def create_table(host: HostIdentity) -> CapsTable:
-    """Create the table of one run of a host; it holds nothing yet."""
+    """Create the table of one incarnation of a host, without shares or loans."""
     return CapsTable(host, owner_key(host.name, host.incarnation))
 
 
 def is_behind(table: CapsTable, now: float) -> bool:
-    """Tell whether a peer lately said that it knows a later revision.
+    """Return True if a peer recently reported a later ledger revision.
 
-    Hosts that know one repeat it while the store shows an older one; when they are
-    all replaced, nobody holds units by it any more.
+    Hosts that have seen a later revision keep reporting it while the store shows an
+    older one. Once all of them are replaced, nobody holds units by that revision.
     """
-    is_fresh = now - table.hinted_at < HINT_SECONDS
+    is_fresh = now - table.hinted_at < HINT_TTL_SECONDS
     return is_fresh and table.hinted_revision > table.revision
--- a/packages/core/tests/test_caps_failures.py
+++ b/packages/core/tests/test_caps_failures.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from greengagepoint.caps.borrowing import ask, drop_silent_requests, take_grant
+from greengagepoint.caps.borrowing import ask, take_grant, time_out_requests
 from greengagepoint.caps.const import (
     CLOCK_RATE_ERROR,
     CONFIRM_SECONDS,
@@ -33,11 +33,11 @@
 from greengagepoint.caps.planning import plan
 from greengagepoint.caps.rights import (
     answer_vouch,
-    ask_witnesses,
     begin_write,
     check_fence,
     confirm_write,
     observe,
+    request_vouches,
     take_vouch,
 )
 from greengagepoint.caps.system import configure
@@ -82,7 +82,7 @@
     check_fence(table, 0.0)
     if owners is not None:
         observe(table, Ledger(owners), REVISION, 0.0)
-        confirm_write(table, owners.get(table.me), 0.0)
+        confirm_write(table, owners.get(table.own_key), 0.0)
     return table
 
 
@@ -176,7 +176,7 @@
     owner, borrower = build_owner(), build(LIVE[2])
     late = answer_request(owner, "b-1", request_from(borrower, 2, 0.0), 0.0)
     borrower.sites["s"].loans["a-1#1"].counted = late.granted[0].units
-    drop_silent_requests(borrower, 1.0)
+    time_out_requests(borrower, 1.0)
     answer_request(owner, "b-1", request_from(borrower, 0, 1.0), 1.0)
     assert owner.sites["s"].lent == 0
     take_grant(borrower, "a-1", late, 1.0)
@@ -188,7 +188,7 @@
     borrower = build(LIVE[2])
     assert request_from(borrower, 2, 0.0).sequence == 1
     for tenth in range(5, 50):
-        drop_silent_requests(borrower, tenth / 10)
+        time_out_requests(borrower, tenth / 10)
     assert request_from(borrower, 2, 5.0).sequence == 2
 
 
@@ -254,8 +254,8 @@
 def test_vouch_counts_from_asking() -> None:
     """A witness's word is under way for four seconds, and counts for the rest."""
     owner = build_owner()
-    owner.write_confirmed = owner.rights_until = -1.0
-    (asked,) = ask_witnesses(owner, 1.0)
+    owner.write_confirmed_at = owner.rights_until = -1.0
+    (asked,) = request_vouches(owner, 1.0)
     take_vouch(owner, "a-2", Vouch(1, 1, asked.message.sequence - 1))
     assert owner.rights_until < 0
     take_vouch(owner, "a-2", Vouch(1, 1, asked.message.sequence))
--- a/packages/core/tests/test_caps_lowered_limit.py
+++ b/packages/core/tests/test_caps_lowered_limit.py
@@ -36,7 +36,7 @@
     check_fence(table, 0.0)
     shares = {"s": Holding(HIGHER, HIGHER), "*": Holding(50, 100)}
     entry = Entry(shares, (), 10, {})
-    observe(table, Ledger({table.me: entry}), 5, 0.0)
+    observe(table, Ledger({table.own_key: entry}), 5, 0.0)
     confirm_write(table, entry, 0.0)
     return table
 
@@ -47,7 +47,9 @@
     configure(table, limited(HIGHER))
     check_fence(table, 0.0)
     table.sites["s"].loans["a-1#1"] = Loan(sent_want=HIGHER)
-    table.lenders["a-1#1"] = Lender("a-1", 1, sequence=1, asked=0.0, sites=("s",))
+    table.lenders["a-1#1"] = Lender(
+        "a-1", 1, sequence=1, requested_at=0.0, sites=("s",)
+    )
     return table
 
 
@@ -108,7 +110,7 @@
     lent_under = sum(parts) + unused
     sites = [Site("s", "a", lent_under) for _ in parts]
     for site, units in zip(sites, parts, strict=True):
-        site.loans["a-1#1"] = Loan(units=units, of=lent_under)
+        site.loans["a-1#1"] = Loan(units=units, lent_limit=lent_under)
         for limit in limits:
             set_limit(site, limit)
     left = sum(site.loans["a-1#1"].units for site in sites)
