--- a/packages/core/tests/test_caps_failures.py
+++ b/packages/core/tests/test_caps_failures.py
@@ -1,4 +1,4 @@
-"""Cause one failure of caps at a time, at the worst moment the clocks allow."""
+"""Test caps under single failures at the worst moment that clocks allow."""
 
 import msgspec
 import pytest
@@ -91,7 +91,7 @@
 
 
 def request_from(borrower: CapsTable, peak: int, now: float) -> LoanRequest:
-    """Let a borrower want units and return its request to the owner."""
+    """Set the borrower's demand and return its request to the owner."""
     site = borrower.sites["s"]
     site.peak = site.recent_peak = peak
     messages = {out.host: out.message for out in ask(borrower, ["s"], now)}
@@ -99,7 +99,7 @@
 
 
 def lend(owner: CapsTable, borrower: CapsTable, peak: int, now: float = 0.0) -> int:
-    """Lend at once and return how many units the borrower has."""
+    """Lend without message delay and return the borrower's units."""
     grant = answer_request(owner, "b-1", request_from(borrower, peak, now), now)
     take_grant(borrower, "a-1", grant, now)
     return borrower.sites["s"].loans["a-1#1"].units
@@ -115,14 +115,14 @@
 
 @pytest.mark.parametrize("request_delay", [0.0, 0.9])
 @pytest.mark.parametrize("grant_delay", [0.0, 4.5])
-def test_lender_takes_back_after_the_last_request(
+def test_lender_reclaims_only_after_the_last_request_on_a_loan(
     request_delay: float, grant_delay: float
 ) -> None:
-    """The borrower's clock is slow, the lender's fast, and messages are late.
+    """The borrower's clock is slow, the lender's is fast, and messages are delayed.
 
-    The borrower starts its last request in the last moment of the loan, with an
-    endless deadline, and is then cut off. The lender must not count the unit as its
-    own before that request has ended, or the site gets one too many.
+    The borrower starts its last request at the last moment of the loan, without an
+    effective deadline, and is then partitioned. If the lender reclaimed the unit
+    before that request has ended, the site would get one request too many.
     """
     slow, fast = 1 - CLOCK_RATE_ERROR / 2, 1 + CLOCK_RATE_ERROR / 2
     owner, borrower = build_owner(), build(LIVE[2])
@@ -138,11 +138,12 @@
         assert expire_loans(owner, end * fast) == 0
 
 
-def test_share_is_reclaimed_after_all_it_allowed() -> None:
-    """A witness vouches, votes at once, and the owner is cut off.
+def test_share_is_reclaimed_only_after_its_last_request() -> None:
+    """A witness vouches and votes right after, and the owner is partitioned.
 
-    The owner lends in the last moment of its rights, and the borrower starts its
-    last request in the last moment of the loan. The share is reclaimed only later.
+    The owner lends at the last moment of its rights, and the borrower starts its
+    last request at the last moment of the loan. The share must not be reclaimed
+    before that request has ended.
     """
     slow = 1 - CLOCK_RATE_ERROR / 2
     owner, borrower = build_owner(), build(LIVE[2])
@@ -160,19 +161,22 @@
     assert after.reclaimed == ("a-1#1",)
 
 
-def test_quarantine_starts_anew_with_other_votes() -> None:
-    """An owner is voted out, objects, uses its share, and is voted out again."""
+def test_quarantine_restarts_with_new_votes() -> None:
+    """An owner is voted out, removes the votes, and is voted out again.
+
+    It may have used its share in between, so the quarantine must restart.
+    """
     reclaimer = build(LIVE[1], {"a-1#1": entry(**{"a-2": "a-2#1.1"})})
     plan(reclaimer, 0.0)
     late = quarantine_seconds(REQUEST_SECONDS) + 1
-    again = Ledger({"a-1#1": entry(**{"a-2": "a-2#1.2"})})
-    observe(reclaimer, again, REVISION + 2, late)
+    revoted = Ledger({"a-1#1": entry(**{"a-2": "a-2#1.2"})})
+    observe(reclaimer, revoted, REVISION + 2, late)
     planned = plan(reclaimer, late)
     assert planned is None or not planned.reclaimed
 
 
-def test_overtaken_grant_is_ignored() -> None:
-    """A grant is so late that the borrower has asked anew, for nothing."""
+def test_grant_for_an_earlier_request_is_ignored() -> None:
+    """A grant arrives after its timeout and a newer request for no units."""
     owner, borrower = build_owner(), build(LIVE[2])
     late = answer_request(owner, "b-1", request_from(borrower, 2, 0.0), 0.0)
     borrower.sites["s"].loans["a-1#1"].counted = late.granted[0].units
@@ -183,8 +187,8 @@
     assert start_all(borrower, 1.0) == []
 
 
-def test_silent_lender_is_asked_again() -> None:
-    """The first request is lost; the borrower looks elsewhere and comes back."""
+def test_lender_is_asked_again_after_a_timeout() -> None:
+    """The first request is lost; after its timeout the lender is asked again."""
     borrower = build(LIVE[2])
     assert request_from(borrower, 2, 0.0).sequence == 1
     for tenth in range(5, 50):
@@ -192,8 +196,8 @@
     assert request_from(borrower, 2, 5.0).sequence == 2
 
 
-def test_doubled_request_returns_nothing() -> None:
-    """The first request, which held nothing, comes again while units are in use."""
+def test_duplicate_request_returns_no_units() -> None:
+    """The first request, with no holding, is duplicated while units are in use."""
     owner, borrower = build_owner(), build(LIVE[2])
     first = request_from(borrower, 2, 0.0)
     take_grant(borrower, "a-1", answer_request(owner, "b-1", first, 0.0), 0.0)
@@ -204,14 +208,14 @@
     assert owner.sites["s"].lent == lent
 
 
-def test_request_held_up_longer_than_the_loan_claims_nothing() -> None:
-    """A renewal arrives after the lender took the units back and used them."""
+def test_request_delayed_beyond_the_loan_claims_nothing() -> None:
+    """A renewal arrives after the lender has reclaimed and used the units."""
     owner = build_owner(())
     want = LoanRequest(1, 1, 1, (Want("s", 0, LIMIT),))
     assert answer_request(owner, "b-1", want, 0.0).granted[0].units
     expire_loans(owner, 100.0)
-    assert len(start_all(owner, 100.0)) == 0  # fenced by the gap
-    assert len(start_all(owner, 100.5)) == 0  # until a write confirms it
+    assert len(start_all(owner, 100.0)) == 0  # fenced by the gap between ticks
+    assert len(start_all(owner, 100.5)) == 0  # until a write confirms its rights
     confirm_write(owner, entry(()), 101.0)
     assert len(start_all(owner, 101.0)) == LIMIT
     late = LoanRequest(1, 1, 2, (Want("s", 4, 4),))
@@ -219,10 +223,10 @@
     assert owner.sites["s"].lent == 0
 
 
-def test_reduced_share_holds_until_the_write_is_settled() -> None:
-    """A host gives its share away and the store's reply is lost.
+def test_reduced_share_applies_until_the_write_is_settled() -> None:
+    """A leaving host writes away its share and the store's reply is lost.
 
-    The write may take effect at any time while the ledger stands at the revision it
+    The write may take effect at any time while the ledger is at the revision that it
     was based on. Reading that revision again proves nothing; a later one does.
     """
     owner = build_owner()
@@ -236,37 +240,40 @@
 
 
 def test_witness_does_not_vouch_after_its_vote() -> None:
-    """The reply to a vote is lost; the owner asks the witness meanwhile."""
+    """The reply to a vote's write is lost while the owner requests a vouch."""
     witness = build(LIVE[1], {"a-1#1": entry()})
-    asked = VouchRequest(1, 1, 1)
-    assert answer_vouch(witness, "a-1", asked, 0.0) == Vouch(1, 1, 1)
+    vouch_request = VouchRequest(1, 1, 1)
+    assert answer_vouch(witness, "a-1", vouch_request, 0.0) == Vouch(1, 1, 1)
     update_live(witness, LIVE[1:], 0.0)
     update_live(witness, LIVE[1:], 6.0)
     update_live(witness, LIVE[1:], 9.0)
     begin_write(witness, plan(witness, 9.0))
-    assert answer_vouch(witness, "a-1", asked, 0.0) is None
+    assert answer_vouch(witness, "a-1", vouch_request, 0.0) is None
     observe(witness, Ledger({"a-1#1": entry()}), REVISION, 3.0)
-    assert answer_vouch(witness, "a-1", asked, 0.0) is None
+    assert answer_vouch(witness, "a-1", vouch_request, 0.0) is None
     observe(witness, Ledger({"a-1#1": entry()}), REVISION + 1, 3.0)
-    assert answer_vouch(witness, "a-1", asked, 0.0) is not None
+    assert answer_vouch(witness, "a-1", vouch_request, 0.0) is not None
+
 
+def test_vouch_counts_from_its_request() -> None:
+    """A vouch confirms rights from its request, even if it arrives 4 seconds later.
 
-def test_vouch_counts_from_asking() -> None:
-    """A witness's word is under way for four seconds, and counts for the rest."""
+    Only the answer to the newest request counts.
+    """
     owner = build_owner()
     owner.write_confirmed_at = owner.rights_until = -1.0
-    (asked,) = request_vouches(owner, 1.0)
-    take_vouch(owner, "a-2", Vouch(1, 1, asked.message.sequence - 1))
+    (vouch_request,) = request_vouches(owner, 1.0)
+    take_vouch(owner, "a-2", Vouch(1, 1, vouch_request.message.sequence - 1))
     assert owner.rights_until < 0
-    take_vouch(owner, "a-2", Vouch(1, 1, asked.message.sequence))
+    take_vouch(owner, "a-2", Vouch(1, 1, vouch_request.message.sequence))
     assert owner.rights_until == 1.0 + CONFIRM_SECONDS
 
 
 def test_departed_host_is_reclaimed_without_votes() -> None:
     """An owner is lost together with all its witnesses, so nobody can vote.
 
-    The operator's drain says that it has left. Its share is reclaimed after the
-    quarantine; if it runs after all, it sends nothing and nobody vouches for it.
+    The operator's drain sets its departure time. Its share is reclaimed after the
+    quarantine. If the host still runs, it starts no requests and gets no vouch.
     """
     record = Drain(
         name="d",
@@ -299,8 +306,8 @@
             assert count - votes < vouches_needed(voted)
 
 
-def test_old_read_confirms_nothing() -> None:
-    """The store serves an old ledger in which the owner is not voted out yet."""
+def test_stale_read_confirms_no_rights() -> None:
+    """The store serves a stale ledger in which the owner is not voted out yet."""
     owner = build_owner()
     observe(owner, Ledger({"a-1#1": entry()}), REVISION, 50.0)
     assert owner.rights_until == CONFIRM_SECONDS
@@ -308,10 +315,10 @@
     assert owner.sites["s"].owned == LIMIT
 
 
-def test_part_in_use_stays_while_a_limit_is_lowered() -> None:
-    """A cap is halved with all units in use, then raised to what it was.
+def test_holding_in_use_stays_while_a_limit_is_lowered() -> None:
+    """A cap is halved with all units in use and may be raised again.
 
-    Requests from before still run; nobody may claim the part that covers them.
+    Earlier requests still run, and no host may claim the units that cover them.
     """
     owner = build_owner()
     running = start_all(owner, 0.0)
@@ -343,15 +350,18 @@
     assert (answer_request(owner, "b-1", request, now) is not None) is lends
 
 
-def test_pause_shows_at_the_first_request() -> None:
-    """A process wakes after two seconds and gets a request before its tick."""
+def test_first_request_after_a_pause_is_rejected() -> None:
+    """A process resumes two seconds after its last tick and gets a request first."""
     owner = build_owner(())
     assert acquire(owner, "s", 1.0, FENCE_SECONDS) is not None
     assert acquire(owner, "s", 1.0, FENCE_SECONDS + 1) is None
 
 
-def test_longer_deadline_waits_for_the_ledger() -> None:
-    """A service's longest deadline grows; reclaimers must know before it is used."""
+def test_longer_deadline_is_used_only_once_in_the_ledger() -> None:
+    """A service's longest deadline grows.
+
+    Hosts that reclaim shares must see it in the ledger before it is used.
+    """
     owner = build_owner()
     configure(owner, configuration(LIMIT, 60))
     assert acquire(owner, "s", 60.0, 0.0).end_by == REQUEST_SECONDS
@@ -365,22 +375,22 @@
     st.lists(st.integers(0, 40), min_size=1, max_size=6),
     st.lists(st.integers(0, 60), min_size=6, max_size=6),
 )
-def test_parts_never_exceed_the_largest_limit_in_force(
+def test_holdings_never_exceed_the_largest_active_limit(
     units: list[int], limits: list[int]
 ) -> None:
     of = max(1, sum(units))
     owners = {f"{n}#1": Entry({"s": Holding(u, of)}) for n, u in enumerate(units)}
-    worth = [
+    units_owned = [
         units_of(owner, "s", limit)
         for owner, limit in zip(owners.values(), limits, strict=False)
     ]
-    assert sum(worth) <= max(limits)
+    assert sum(units_owned) <= max(limits)
     same = [units_of(owner, "s", limits[0]) for owner in owners.values()]
     assert sum(same) + unowned_units(Ledger(owners), "s", limits[0]) <= limits[0]
 
 
 @pytest.mark.parametrize("value", [b"", b"[]", b'{"owners":{},"schema":2}'])
-def test_unreadable_ledger_is_refused(value: bytes) -> None:
+def test_unreadable_ledger_is_rejected(value: bytes) -> None:
     with pytest.raises(StoreError) as caught:
         decode_ledger(value)
     assert caught.value.kind is ErrorKind.STORE_ANSWER_INVALID
--- a/packages/core/tests/test_caps_lowered_limit.py
+++ b/packages/core/tests/test_caps_lowered_limit.py
@@ -1,4 +1,4 @@
-"""Lower a site's limit while units of it are on loan."""
+"""Test changes of a site's limit while its units are on loan."""
 
 import pytest
 from hypothesis import given
@@ -24,14 +24,14 @@
 LOWER = 3
 
 
-def limited(limit: int) -> Configuration:
+def configuration_limited_to(limit: int) -> Configuration:
     return configuration(LAYOUT, 1, {"s": limit})
 
 
 def build_owner() -> CapsTable:
-    """Build the confirmed owner of the whole limit."""
+    """Build the owner of the whole limit, with its rights confirmed."""
     table = create_table(OWNER)
-    configure(table, limited(HIGHER))
+    configure(table, configuration_limited_to(HIGHER))
     update_live(table, (OWNER, BORROWER), 0.0)
     check_fence(table, 0.0)
     shares = {"s": Holding(HIGHER, HIGHER), "*": Holding(50, 100)}
@@ -42,9 +42,9 @@
 
 
 def build_borrower() -> CapsTable:
-    """Build a host that has asked the owner at time 0."""
+    """Build a host that sent a loan request to the owner at time 0."""
     table = create_table(BORROWER)
-    configure(table, limited(HIGHER))
+    configure(table, configuration_limited_to(HIGHER))
     check_fence(table, 0.0)
     table.sites["s"].loans["a-1#1"] = Loan(sent_want=HIGHER)
     table.lenders["a-1#1"] = Lender(
@@ -53,8 +53,8 @@
     return table
 
 
-def grant_of(owner: CapsTable, *, kept: int) -> LoanGrant:
-    """Let the owner lend all but what it uses itself."""
+def grant_from(owner: CapsTable, *, kept: int) -> LoanGrant:
+    """Let the owner use ``kept`` units itself and lend all others."""
     for _ in range(kept):
         assert acquire(owner, "s", 1.0, 0.0) is not None
     want = Want("s", 0, 2 * (HIGHER - kept))
@@ -64,38 +64,38 @@
 
 
 def start_all(table: CapsTable) -> int:
-    """Start all that is permitted."""
+    """Start as many requests as are permitted and return their number."""
     started = 0
     while acquire(table, "s", 1.0, 0.0) is not None:
         started += 1
     return started
 
 
-@pytest.mark.parametrize("late", [False, True])
-def test_loan_from_before_is_worth_its_part_of_a_lower_limit(late: bool) -> None:
-    """A cap is lowered while its units are on loan, or a grant is on its way.
+@pytest.mark.parametrize("granted_late", [False, True])
+def test_loan_is_scaled_down_to_a_lowered_limit(granted_late: bool) -> None:
+    """A cap is lowered while its units are on loan or a grant is in transit.
 
-    Once the record is in force on both hosts, the borrower is refused above its part:
-    with all units lent under the higher cap, it would go on with those for seconds.
+    Once both hosts apply the new cap, the borrower may only use its part of it.
+    Otherwise it would use all units lent under the higher cap for seconds.
     """
     owner, borrower = build_owner(), build_borrower()
-    grant = grant_of(owner, kept=0)
+    grant = grant_from(owner, kept=0)
     lent = grant.granted[0].units
     for table in (borrower, owner):
-        if not late:
+        if not granted_late:
             take_grant(borrower, "a-1", grant, 0.0)
-        configure(table, limited(LOWER))
+        configure(table, configuration_limited_to(LOWER))
     take_grant(borrower, "a-1", grant, 0.0)
     assert lent > 0
     assert start_all(borrower) == lent * LOWER // HIGHER
     assert start_all(borrower) + start_all(owner) <= LOWER
 
 
-def test_loan_is_not_worth_more_of_a_raised_limit() -> None:
+def test_loan_does_not_grow_with_a_raised_limit() -> None:
     owner, borrower = build_owner(), build_borrower()
-    grant = grant_of(owner, kept=0)
+    grant = grant_from(owner, kept=0)
     take_grant(borrower, "a-1", grant, 0.0)
-    configure(borrower, limited(10 * HIGHER))
+    configure(borrower, configuration_limited_to(10 * HIGHER))
     assert start_all(borrower) == grant.granted[0].units
 
 
@@ -104,7 +104,7 @@
     unused=st.integers(0, 5),
     limits=st.lists(st.integers(0, 200), min_size=1, max_size=4),
 )
-def test_parts_of_a_lower_limit_sum_to_it_at_most(
+def test_scaled_loans_sum_to_at_most_the_lower_limit(
     parts: list[int], unused: int, limits: list[int]
 ) -> None:
     lent_under = sum(parts) + unused
