--- a/measure/capacity_parts.py
+++ b/measure/capacity_parts.py
@@ -10,7 +10,7 @@
 from greengagepoint.caps.ledger import Entry, Holding, Ledger, owner_key
 from greengagepoint.caps.owners import update_live
 from greengagepoint.caps.planning import plan
-from greengagepoint.caps.rights import observe
+from greengagepoint.caps.rights import apply_ledger
 from greengagepoint.caps.system import configure
 from greengagepoint.caps.system import run as run_caps
 from greengagepoint.caps.tables import CapsTable, create_table
@@ -127,12 +127,12 @@
     names = [site.name for site in records.sites.values() if site.region == me.region]
     parts: dict[str, dict[str, Holding]] = {}
     for number, name in enumerate(names):
-        for turn in range(owners.OWNERS_A_SITE):
+        for turn in range(owners.OWNERS_PER_SITE):
             key = owner_key(f"other-{(number * 4 + turn) % count:03}", 1)
             quarter = Holding(fleet.SITE_CAPACITY // 4, fleet.SITE_CAPACITY)
             parts.setdefault(key, {})[name] = quarter
     ledger = Ledger({key: Entry(held) for key, held in parts.items()})
-    observe(table, ledger, 1, 0.0)
+    apply_ledger(table, ledger, 1, 0.0)
     return table
 
 
--- a/measure/capacity_roles.py
+++ b/measure/capacity_roles.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from greengagepoint.caps.const import LEDGER_POLL_OWNERS, LEDGER_POLL_SECONDS
+from greengagepoint.caps.const import LEDGER_OWNERS_PER_POLL, LEDGER_POLL_SECONDS
 from greengagepoint.configuration import EMPTY
 from greengagepoint.delivery.committers import write_interval_seconds
 from greengagepoint.records.schemas import Callers
@@ -203,7 +203,7 @@
 def store_calls(at: Values) -> list[StoreCalls]:
     """Return the store's calls in an ordinary second."""
     watchers = at["watchers"]
-    poll = LEDGER_POLL_SECONDS * (1 + LEDGER_OWNERS / LEDGER_POLL_OWNERS)
+    poll = LEDGER_POLL_SECONDS * (1 + LEDGER_OWNERS / LEDGER_OWNERS_PER_POLL)
     usage = fleet.HOSTS / write_seconds(fleet.HOSTS)
     claims = at["claim writes"]
     paced = fleet.REGIONS / write_interval_seconds(fleet.REGIONS)
@@ -231,7 +231,7 @@
             0,
             0,
             f"{fleet.HOSTS:,} hosts / ({LEDGER_POLL_SECONDS:.0f} s × "
-            f"(1 + {LEDGER_OWNERS} owners / {LEDGER_POLL_OWNERS}))",
+            f"(1 + {LEDGER_OWNERS} owners / {LEDGER_OWNERS_PER_POLL}))",
         ),
         StoreCalls(
             "usage",
--- a/measure/capacity_views.py
+++ b/measure/capacity_views.py
@@ -2,7 +2,7 @@
 
 from typing import Final, NamedTuple
 
-from greengagepoint.caps.const import OWNERS_A_SITE
+from greengagepoint.caps.const import OWNERS_PER_SITE
 from greengagepoint.config.watchers import watchers_of
 from greengagepoint.delivery.committers import committers, write_interval_seconds
 from greengagepoint.hosts import HostIdentity
@@ -92,7 +92,7 @@
         place.name: tuple(
             rank(
                 site, (h.name for h in seen.by_zone[place.name] if h.region == region)
-            )[:OWNERS_A_SITE]
+            )[:OWNERS_PER_SITE]
         )
         for place in fleet.zones()
         if place.region == region
@@ -113,7 +113,7 @@
         for place in fleet.zones():
             view = seen.by_zone[place.name]
             asked = rank(site.name, (h.name for h in view if h.region == site.region))
-            reaches = bool(own & set(asked[:OWNERS_A_SITE]))
+            reaches = bool(own & set(asked[:OWNERS_PER_SITE]))
             if place.region == site.region:
                 near_all, near = near_all + 1, near + reaches
             else:
@@ -123,7 +123,7 @@
             "capacity: hosts that hold themselves owners of a site",
             owners / len(sites),
             "hosts",
-            OWNERS_A_SITE,
+            OWNERS_PER_SITE,
             "one view",
         ),
         Figure(
--- a/measure/caps.py
+++ b/measure/caps.py
@@ -71,12 +71,12 @@
 @contextmanager
 def _owners_a_site(count: int):
     """Let this many hosts own a site."""
-    before = owners.OWNERS_A_SITE
-    owners.OWNERS_A_SITE = count
+    before = owners.OWNERS_PER_SITE
+    owners.OWNERS_PER_SITE = count
     try:
         yield
     finally:
-        owners.OWNERS_A_SITE = before
+        owners.OWNERS_PER_SITE = before
 
 
 def demand_trace() -> list[Demand]:
--- a/measure/caps_size.py
+++ b/measure/caps_size.py
@@ -19,7 +19,7 @@
     sites = [name for name, place in layout.region_of_site.items() if place == region]
     shares: dict[str, dict[str, Holding]] = {name: {} for name in names}
     for site in sites:
-        for name in rank(site, names)[: owners.OWNERS_A_SITE]:
+        for name in rank(site, names)[: owners.OWNERS_PER_SITE]:
             shares[name][site] = Holding(125, 500)
     entries = {
         f"{name}#1700000000000": Entry(
--- a/packages/core/greengagepoint/caps/borrowing.py
+++ b/packages/core/greengagepoint/caps/borrowing.py
@@ -72,7 +72,9 @@
     return bool(site.loans) and not any(loan.lendable for loan in site.loans.values())
 
 
-def ask(table: CapsTable, site_names: Iterable[str], now: float) -> list[Outgoing]:
+def create_loan_requests(
+    table: CapsTable, site_names: Iterable[str], now: float
+) -> list[Outgoing]:
     """Return at most one loan request for each lender."""
     wants: dict[str, list[Want]] = {}
     for name in site_names:
@@ -197,7 +199,7 @@
     )
 
 
-def take_grant(
+def apply_grant(
     table: CapsTable, sender: str, grant: LoanGrant, now: float
 ) -> list[str]:
     """Apply a grant and return the sites that gained units.
--- a/packages/core/greengagepoint/caps/const.py
+++ b/packages/core/greengagepoint/caps/const.py
@@ -5,7 +5,7 @@
 REGION_KEY: Final = "*"
 """Ledger key of the region's own capacity, next to the keys of its sites."""
 
-OWNERS_A_SITE: Final = 4
+OWNERS_PER_SITE: Final = 4
 WITNESSES_PER_OWNER: Final = 3
 
 LOAN_SECONDS: Final = 5.0
@@ -56,7 +56,7 @@
 HINT_TTL_SECONDS: Final = 300.0
 """How long a later revision reported by a peer counts; hosts read at least as often."""
 
-LEDGER_POLL_OWNERS: Final = 100
+LEDGER_OWNERS_PER_POLL: Final = 100
 """This many owners add one poll interval, so a larger ledger is read less often."""
 
 PLAN_INTERVAL_SECONDS: Final = 0.5
@@ -66,7 +66,7 @@
 DEFAULT_REQUEST_SECONDS: Final = 30
 
 
-def lent_seconds(request_seconds: float) -> float:
+def loan_expiry_seconds(request_seconds: float) -> float:
     """Return how many seconds a lender counts a loan that is not renewed."""
     longest = LOAN_SECONDS + request_seconds + RUN_END_SECONDS
     return longest * (1 + CLOCK_RATE_ERROR) + CLOCK_MARGIN_SECONDS
--- a/packages/core/greengagepoint/caps/lending.py
+++ b/packages/core/greengagepoint/caps/lending.py
@@ -5,7 +5,7 @@
 from greengagepoint.caps.const import (
     DEMAND_WINDOW_SECONDS,
     LOAN_SECONDS,
-    lent_seconds,
+    loan_expiry_seconds,
 )
 from greengagepoint.caps.ledger import owner_key
 from greengagepoint.caps.messages import Granted, LoanGrant, LoanRequest, Want
@@ -69,7 +69,7 @@
     counted = max(holding, units)
     _change_lent(table, site, counted - holding)
     if counted or lent is not None:
-        expires = now + lent_seconds(table.request_seconds)
+        expires = now + loan_expiry_seconds(table.request_seconds)
         borrower.lent[want.site] = Lent(counted, expires, want.want)
     lendable = max(0, free_units(table, site))
     owners = _owners_to_name(table, site)
@@ -163,7 +163,7 @@
     After that an old request of the borrower would count as new, but it does no harm:
     with no loan recorded it can return nothing, and the borrower ignores its grant.
     """
-    return lent_seconds(table.request_seconds) + LOAN_SECONDS
+    return loan_expiry_seconds(table.request_seconds) + LOAN_SECONDS
 
 
 def fair_share(table: CapsTable, site: Site) -> int:
--- a/packages/core/greengagepoint/caps/owners.py
+++ b/packages/core/greengagepoint/caps/owners.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable, Sequence
 
-from greengagepoint.caps.const import OWNERS_A_SITE, WITNESSES_PER_OWNER
+from greengagepoint.caps.const import OWNERS_PER_SITE, WITNESSES_PER_OWNER
 from greengagepoint.caps.ledger import owner_key, owner_name, owners_by_key
 from greengagepoint.caps.tables import CapsTable, Site
 from greengagepoint.hosts import HostIdentity
@@ -75,7 +75,7 @@
     if site.owners_version == table.live_version:
         return
     by_name = {host.name: host for host in table.region_hosts.get(site.region, ())}
-    names = rank(site.name, by_name)[:OWNERS_A_SITE]
+    names = rank(site.name, by_name)[:OWNERS_PER_SITE]
     site.owners = tuple(by_name[name] for name in names)
     # Each borrower has its own order, which spreads the load over the lenders.
     order = rank(f"{site.name}/{table.host.name}", names)
--- a/packages/core/greengagepoint/caps/permits.py
+++ b/packages/core/greengagepoint/caps/permits.py
@@ -72,7 +72,7 @@
     site = table.sites.get(site_name)
     if site is None or now - table.last_tick > FENCE_SECONDS:
         return 0
-    units = units_at_hand(table, site_name, now)
+    units = available_units(table, site_name, now)
     for loan in site.loans.values():
         if now - loan.answered_at <= LENDABLE_MAX_AGE_SECONDS:
             units += loan.lendable
@@ -81,7 +81,7 @@
     return units
 
 
-def units_at_hand(table: CapsTable, site_name: str, now: float) -> int:
+def available_units(table: CapsTable, site_name: str, now: float) -> int:
     """Return how many requests could start now without a loan request."""
     site = table.sites.get(site_name)
     if site is None or now - table.last_tick > FENCE_SECONDS:
--- a/packages/core/greengagepoint/caps/rights.py
+++ b/packages/core/greengagepoint/caps/rights.py
@@ -31,7 +31,7 @@
     changed: bool
 
 
-def observe(
+def apply_ledger(
     table: CapsTable, ledger: Ledger, revision: int, now: float
 ) -> LedgerApplied:
     """Apply a ledger read from the store (revision 0: absent).
@@ -191,7 +191,7 @@
     return Vouch(request.owner, request.witness, request.sequence)
 
 
-def take_vouch(table: CapsTable, sender: str, vouch: Vouch) -> None:
+def record_vouch(table: CapsTable, sender: str, vouch: Vouch) -> None:
     """Record a vouch; it counts from the time of its request."""
     witness = f"{sender}#{vouch.witness}"
     sequence, sent_at = table.vouch_requests.get(witness, (0, -inf))
@@ -201,7 +201,7 @@
     refresh_rights(table)
 
 
-def take_hint(
+def handle_hint(
     table: CapsTable, changed: LedgerChanged, now: float
 ) -> LedgerChanged | None:
     """Record a revision seen by a peer; return this host's revision if it is later."""
--- a/packages/core/greengagepoint/caps/system.py
+++ b/packages/core/greengagepoint/caps/system.py
@@ -4,7 +4,7 @@
 
 from greengagepoint.caps.borrowing import (
     Outgoing,
-    ask,
+    create_loan_requests,
     roll_demand,
     set_limit,
     time_out_requests,
@@ -13,7 +13,7 @@
     DEFAULT_REQUEST_SECONDS,
     DEMAND_WINDOW_SECONDS,
     HINT_RETRY_SECONDS,
-    LEDGER_POLL_OWNERS,
+    LEDGER_OWNERS_PER_POLL,
     LEDGER_POLL_SECONDS,
     PLAN_INTERVAL_SECONDS,
     REGION_KEY,
@@ -63,7 +63,7 @@
     time_out_requests(table, now)
     _record_own_shortages(table, now)
     messages = request_vouches(table, now)
-    messages += ask(table, _active_sites(table, now), now)
+    messages += create_loan_requests(table, _active_sites(table, now), now)
     messages += _request_region_units(table, now)
     events += _rights_events(table, now)
     return Commands(messages, events, _needs_ledger(table, now))
@@ -188,7 +188,7 @@
 
 def _needs_ledger(table: CapsTable, now: float) -> bool:
     """Return True if the ledger must be read or written."""
-    size = len(table.ledger.owners) / LEDGER_POLL_OWNERS
+    size = len(table.ledger.owners) / LEDGER_OWNERS_PER_POLL
     if now - table.read_at >= LEDGER_POLL_SECONDS * (1 + size):
         return True
     if table.pending:
--- a/packages/core/tests/test_caps_failures.py
+++ b/packages/core/tests/test_caps_failures.py
@@ -5,7 +5,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from greengagepoint.caps.borrowing import ask, take_grant, time_out_requests
+from greengagepoint.caps.borrowing import (
+    apply_grant,
+    create_loan_requests,
+    time_out_requests,
+)
 from greengagepoint.caps.const import (
     CLOCK_RATE_ERROR,
     CONFIRM_SECONDS,
@@ -33,12 +37,12 @@
 from greengagepoint.caps.planning import plan
 from greengagepoint.caps.rights import (
     answer_vouch,
+    apply_ledger,
     begin_write,
     check_fence,
     confirm_write,
-    observe,
+    record_vouch,
     request_vouches,
-    take_vouch,
 )
 from greengagepoint.caps.system import configure
 from greengagepoint.caps.tables import CapsTable, create_table
@@ -81,7 +85,7 @@
     update_live(table, LIVE, 0.0)
     check_fence(table, 0.0)
     if owners is not None:
-        observe(table, Ledger(owners), REVISION, 0.0)
+        apply_ledger(table, Ledger(owners), REVISION, 0.0)
         confirm_write(table, owners.get(table.own_key), 0.0)
     return table
 
@@ -94,14 +98,16 @@
     """Set the borrower's demand and return its request to the owner."""
     site = borrower.sites["s"]
     site.peak = site.recent_peak = peak
-    messages = {out.host: out.message for out in ask(borrower, ["s"], now)}
+    messages = {
+        out.host: out.message for out in create_loan_requests(borrower, ["s"], now)
+    }
     return messages["a-1"]
 
 
 def lend(owner: CapsTable, borrower: CapsTable, peak: int, now: float = 0.0) -> int:
     """Lend without message delay and return the borrower's units."""
     grant = answer_request(owner, "b-1", request_from(borrower, peak, now), now)
-    take_grant(borrower, "a-1", grant, now)
+    apply_grant(borrower, "a-1", grant, now)
     return borrower.sites["s"].loans["a-1#1"].units
 
 
@@ -128,7 +134,7 @@
     owner, borrower = build_owner(), build(LIVE[2])
     request = request_from(borrower, 2, 0.0)
     grant = answer_request(owner, "b-1", request, request_delay * fast)
-    take_grant(borrower, "a-1", grant, (request_delay + grant_delay) * slow)
+    apply_grant(borrower, "a-1", grant, (request_delay + grant_delay) * slow)
     last = borrower.sites["s"].loans["a-1#1"].start_until
     permits = start_all(borrower, last)
     assert len(permits) == borrower.sites["s"].loans["a-1#1"].units > 0
@@ -170,7 +176,7 @@
     plan(reclaimer, 0.0)
     late = quarantine_seconds(REQUEST_SECONDS) + 1
     revoted = Ledger({"a-1#1": entry(**{"a-2": "a-2#1.2"})})
-    observe(reclaimer, revoted, REVISION + 2, late)
+    apply_ledger(reclaimer, revoted, REVISION + 2, late)
     planned = plan(reclaimer, late)
     assert planned is None or not planned.reclaimed
 
@@ -183,7 +189,7 @@
     time_out_requests(borrower, 1.0)
     answer_request(owner, "b-1", request_from(borrower, 0, 1.0), 1.0)
     assert owner.sites["s"].lent == 0
-    take_grant(borrower, "a-1", late, 1.0)
+    apply_grant(borrower, "a-1", late, 1.0)
     assert start_all(borrower, 1.0) == []
 
 
@@ -200,7 +206,7 @@
     """The first request, with no holding, is duplicated while units are in use."""
     owner, borrower = build_owner(), build(LIVE[2])
     first = request_from(borrower, 2, 0.0)
-    take_grant(borrower, "a-1", answer_request(owner, "b-1", first, 0.0), 0.0)
+    apply_grant(borrower, "a-1", answer_request(owner, "b-1", first, 0.0), 0.0)
     lent = owner.sites["s"].lent
     assert lend(owner, borrower, 4, 0.5) > lent
     lent = owner.sites["s"].lent
@@ -233,9 +239,9 @@
     owner.leaving = True
     begin_write(owner, plan(owner, 0.0))
     assert owner.sites["s"].owned == 0
-    observe(owner, Ledger({"a-1#1": entry()}), REVISION, 0.0)
+    apply_ledger(owner, Ledger({"a-1#1": entry()}), REVISION, 0.0)
     assert owner.sites["s"].owned == 0
-    observe(owner, Ledger({"a-1#1": entry()}), REVISION + 1, 0.0)
+    apply_ledger(owner, Ledger({"a-1#1": entry()}), REVISION + 1, 0.0)
     assert owner.sites["s"].owned == LIMIT
 
 
@@ -249,9 +255,9 @@
     update_live(witness, LIVE[1:], 9.0)
     begin_write(witness, plan(witness, 9.0))
     assert answer_vouch(witness, "a-1", vouch_request, 0.0) is None
-    observe(witness, Ledger({"a-1#1": entry()}), REVISION, 3.0)
+    apply_ledger(witness, Ledger({"a-1#1": entry()}), REVISION, 3.0)
     assert answer_vouch(witness, "a-1", vouch_request, 0.0) is None
-    observe(witness, Ledger({"a-1#1": entry()}), REVISION + 1, 3.0)
+    apply_ledger(witness, Ledger({"a-1#1": entry()}), REVISION + 1, 3.0)
     assert answer_vouch(witness, "a-1", vouch_request, 0.0) is not None
 
 
@@ -263,9 +269,9 @@
     owner = build_owner()
     owner.write_confirmed_at = owner.rights_until = -1.0
     (vouch_request,) = request_vouches(owner, 1.0)
-    take_vouch(owner, "a-2", Vouch(1, 1, vouch_request.message.sequence - 1))
+    record_vouch(owner, "a-2", Vouch(1, 1, vouch_request.message.sequence - 1))
     assert owner.rights_until < 0
-    take_vouch(owner, "a-2", Vouch(1, 1, vouch_request.message.sequence))
+    record_vouch(owner, "a-2", Vouch(1, 1, vouch_request.message.sequence))
     assert owner.rights_until == 1.0 + CONFIRM_SECONDS
 
 
@@ -309,9 +315,9 @@
 def test_stale_read_confirms_no_rights() -> None:
     """The store serves a stale ledger in which the owner is not voted out yet."""
     owner = build_owner()
-    observe(owner, Ledger({"a-1#1": entry()}), REVISION, 50.0)
+    apply_ledger(owner, Ledger({"a-1#1": entry()}), REVISION, 50.0)
     assert owner.rights_until == CONFIRM_SECONDS
-    observe(owner, Ledger({}), REVISION - 1, 50.0)
+    apply_ledger(owner, Ledger({}), REVISION - 1, 50.0)
     assert owner.sites["s"].owned == LIMIT
 
 
@@ -367,7 +373,7 @@
     assert acquire(owner, "s", 60.0, 0.0).end_by == REQUEST_SECONDS
     planned = plan(owner, 0.0)
     begin_write(owner, planned)
-    observe(owner, planned.ledger, REVISION + 1, 0.0)
+    apply_ledger(owner, planned.ledger, REVISION + 1, 0.0)
     assert acquire(owner, "s", 60.0, 0.0).end_by == 60
 
 
--- a/packages/core/tests/test_caps_lowered_limit.py
+++ b/packages/core/tests/test_caps_lowered_limit.py
@@ -4,13 +4,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from greengagepoint.caps.borrowing import set_limit, take_grant
+from greengagepoint.caps.borrowing import apply_grant, set_limit
 from greengagepoint.caps.ledger import Entry, Holding, Ledger
 from greengagepoint.caps.lending import answer_request
 from greengagepoint.caps.messages import LoanGrant, LoanRequest, Want
 from greengagepoint.caps.owners import update_live
 from greengagepoint.caps.permits import acquire
-from greengagepoint.caps.rights import check_fence, confirm_write, observe
+from greengagepoint.caps.rights import apply_ledger, check_fence, confirm_write
 from greengagepoint.caps.system import configure
 from greengagepoint.caps.tables import CapsTable, Lender, Loan, Site, create_table
 from greengagepoint.configuration import Configuration
@@ -36,7 +36,7 @@
     check_fence(table, 0.0)
     shares = {"s": Holding(HIGHER, HIGHER), "*": Holding(50, 100)}
     entry = Entry(shares, (), 10, {})
-    observe(table, Ledger({table.own_key: entry}), 5, 0.0)
+    apply_ledger(table, Ledger({table.own_key: entry}), 5, 0.0)
     confirm_write(table, entry, 0.0)
     return table
 
@@ -83,9 +83,9 @@
     lent = grant.granted[0].units
     for table in (borrower, owner):
         if not granted_late:
-            take_grant(borrower, "a-1", grant, 0.0)
+            apply_grant(borrower, "a-1", grant, 0.0)
         configure(table, configuration_limited_to(LOWER))
-    take_grant(borrower, "a-1", grant, 0.0)
+    apply_grant(borrower, "a-1", grant, 0.0)
     assert lent > 0
     assert start_all(borrower) == lent * LOWER // HIGHER
     assert start_all(borrower) + start_all(owner) <= LOWER
@@ -94,7 +94,7 @@
 def test_loan_does_not_grow_with_a_raised_limit() -> None:
     owner, borrower = build_owner(), build_borrower()
     grant = grant_from(owner, kept=0)
-    take_grant(borrower, "a-1", grant, 0.0)
+    apply_grant(borrower, "a-1", grant, 0.0)
     configure(borrower, configuration_limited_to(10 * HIGHER))
     assert start_all(borrower) == grant.granted[0].units
 
--- a/packages/node/greengagepoint_node/coordinators/caps.py
+++ b/packages/node/greengagepoint_node/coordinators/caps.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from greengagepoint.caps import permits
-from greengagepoint.caps.borrowing import Outgoing, ask, take_grant
+from greengagepoint.caps.borrowing import Outgoing, apply_grant, create_loan_requests
 from greengagepoint.caps.const import store_retry_seconds
 from greengagepoint.caps.departures import (
     Departure,
@@ -25,7 +25,7 @@
     VouchRequest,
 )
 from greengagepoint.caps.owners import update_live
-from greengagepoint.caps.rights import answer_vouch, take_hint, take_vouch
+from greengagepoint.caps.rights import answer_vouch, handle_hint, record_vouch
 from greengagepoint.caps.status import CapsStatus, status
 from greengagepoint.caps.system import configure, run, yield_region_units
 from greengagepoint.caps.tables import Permit, create_table, is_behind
@@ -89,7 +89,7 @@
         now = self.context.clock.monotonic()
         for site in self.table.sites.values():
             site.peak = site.recent_peak = site.refused = 0
-        self._send(ask(self.table, list(self.table.sites), now))
+        self._send(create_loan_requests(self.table, list(self.table.sites), now))
         await self._async_cancel()
         with suppress(StoreError, TimeoutError):
             async with asyncio.timeout(HANDOVER_SECONDS):
@@ -170,7 +170,7 @@
     def on_loan_grant(self, sender: str, grant: LoanGrant) -> None:
         """Take units from a peer and wake who waits for them."""
         now = self.context.clock.monotonic()
-        for site in take_grant(self.table, sender, grant, now):
+        for site in apply_grant(self.table, sender, grant, now):
             self.context.events.record(Event.LOAN_GRANTED, site=site, lender=sender)
             self._wake(site)
 
@@ -183,12 +183,12 @@
 
     def on_vouch(self, sender: str, vouch: Vouch) -> None:
         """Count a witness's word."""
-        take_vouch(self.table, sender, vouch)
+        record_vouch(self.table, sender, vouch)
 
     def on_ledger_changed(self, sender: str, changed: LedgerChanged) -> None:
         """Read the ledger again, or tell a peer that has read an older one."""
         now = self.context.clock.monotonic()
-        reply = take_hint(self.table, changed, now)
+        reply = handle_hint(self.table, changed, now)
         if reply is not None:
             self.context.peers.send(sender, reply)
         if is_behind(self.table, now):
@@ -211,7 +211,9 @@
         waiting = self.waiters.setdefault(site, deque())
         waiting.append(future)
         try:
-            self._send(ask(self.table, [site], self.context.clock.monotonic()))
+            self._send(
+                create_loan_requests(self.table, [site], self.context.clock.monotonic())
+            )
             await future
         finally:
             if future in waiting:
@@ -225,7 +227,7 @@
         if not waiting:
             return
         now = self.context.clock.monotonic()
-        for _ in range(permits.units_at_hand(self.table, site, now)):
+        for _ in range(permits.available_units(self.table, site, now)):
             if not waiting:
                 return
             future = waiting.popleft()
--- a/packages/node/greengagepoint_node/coordinators/caps_ledger.py
+++ b/packages/node/greengagepoint_node/coordinators/caps_ledger.py
@@ -9,7 +9,7 @@
     ledger_key,
 )
 from greengagepoint.caps.planning import Plan, plan
-from greengagepoint.caps.rights import begin_write, confirm_write, observe
+from greengagepoint.caps.rights import apply_ledger, begin_write, confirm_write
 from greengagepoint.caps.tables import CapsTable
 from greengagepoint.errors import StoreOutcomeUnknownError
 from greengagepoint.events import Event
@@ -50,9 +50,11 @@
     stored = await context.store.read(ledger_key(table.host.region))
     now = context.clock.monotonic()
     if stored is None:
-        observed = observe(table, EMPTY_LEDGER, 0, now)
+        observed = apply_ledger(table, EMPTY_LEDGER, 0, now)
     else:
-        observed = observe(table, decode_ledger(stored.value), stored.revision, now)
+        observed = apply_ledger(
+            table, decode_ledger(stored.value), stored.revision, now
+        )
     if not observed.accepted:
         context.events.record(
             Event.STORE_REVERTED,
--- a/packages/standins/greengagepoint_standins/caps_host.py
+++ b/packages/standins/greengagepoint_standins/caps_host.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from greengagepoint.caps import permits
-from greengagepoint.caps.borrowing import Outgoing, ask, take_grant
+from greengagepoint.caps.borrowing import Outgoing, apply_grant, create_loan_requests
 from greengagepoint.caps.lending import answer_request
 from greengagepoint.caps.messages import (
     LedgerChanged,
@@ -18,11 +18,11 @@
 from greengagepoint.caps.planning import Plan, plan
 from greengagepoint.caps.rights import (
     answer_vouch,
+    apply_ledger,
     begin_write,
     confirm_write,
-    observe,
-    take_hint,
-    take_vouch,
+    handle_hint,
+    record_vouch,
 )
 from greengagepoint.caps.system import yield_region_units
 from greengagepoint.caps.tables import CapsTable, Permit
@@ -75,7 +75,7 @@
         """Return loan requests where a request waits for a unit."""
         if self.running[site] >= self.wanted[site]:
             return []
-        return ask(self.table, [site], self.clock(true))
+        return create_loan_requests(self.table, [site], self.clock(true))
 
     def end_request(self, permit: Permit) -> None:
         """Give a unit back."""
@@ -89,13 +89,13 @@
             case LoanRequest():
                 return answer_request(self.table, sender, message, clock)
             case LoanGrant():
-                take_grant(self.table, sender, message, clock)
+                apply_grant(self.table, sender, message, clock)
             case VouchRequest():
                 return answer_vouch(self.table, sender, message, clock)
             case Vouch():
-                take_vouch(self.table, sender, message)
+                record_vouch(self.table, sender, message)
             case LedgerChanged():
-                return take_hint(self.table, message, clock)
+                return handle_hint(self.table, message, clock)
             case RegionUnitsWanted():
                 yield_region_units(self.table, message.units, clock)
         return None
@@ -111,7 +111,7 @@
             self.write = None
             return False
         if self.write is None:
-            observe(self.table, *store.read(region), clock)
+            apply_ledger(self.table, *store.read(region), clock)
             planned = plan(self.table, clock)
             if planned is not None:
                 begin_write(self.table, planned)
@@ -124,5 +124,5 @@
             return False
         if accepted:
             confirm_write(self.table, planned.entry, asked)
-        observe(self.table, *store.read(region), clock)
+        apply_ledger(self.table, *store.read(region), clock)
         return accepted
--- a/packages/standins/greengagepoint_standins/caps_world.py
+++ b/packages/standins/greengagepoint_standins/caps_world.py
@@ -7,7 +7,7 @@
 from itertools import count
 from typing import Any
 
-from greengagepoint.caps.const import lent_seconds
+from greengagepoint.caps.const import loan_expiry_seconds
 from greengagepoint.caps.messages import LedgerChanged
 from greengagepoint.caps.owners import update_live
 from greengagepoint.caps.system import configure, run
@@ -238,7 +238,7 @@
         A limit outlives the hosts' change by what was started or lent under it.
         """
         held = {host.configuration.generation for host in self.hosts.values()}
-        longest = 2 * lent_seconds(self.layout.request_seconds)
+        longest = 2 * loan_expiry_seconds(self.layout.request_seconds)
         return max(
             c.caps[site].limit
             for c in self.generations
