--- a/packages/node/tests/test_gateway_configuration_loader.py
+++ b/packages/node/tests/test_gateway_configuration_loader.py
@@ -1,7 +1,7 @@
-"""How a large configuration comes in force, and what callers see meanwhile.
+"""How a large configuration becomes active, and what callers see meanwhile.
 
-Read whole in one step of the event loop, 5,000 routes kept every caller of a host of
-0.43 of a core waiting for a tenth of a second, whenever an operator changed one route.
+Decoding 5,000 routes in one step of the event loop blocked every caller of a host with
+0.43 of a core for a tenth of a second, whenever an operator changed one route.
 """
 
 import asyncio
@@ -37,19 +37,19 @@
 NOW = 50.0
 
 
-class Reader:
-    """Read values such as b"7", or b"7 bad 300", whose part 300 can't be read."""
+class Decoder:
+    """Decode values such as b"7", or b"7 bad 300", whose part 300 is invalid."""
 
     def __init__(self):
-        self.parts_read = {}
+        self.parts_decoded = {}
 
-    def in_parts(self, item):
+    def decode_parts(self, item):
         return self.read(item) if item.key == KEY else None
 
     def read(self, item):
         version, _, bad_at = item.value.decode().strip().partition(" bad ")
         for part in range(PARTS):
-            self.parts_read[version] = part + 1
+            self.parts_decoded[version] = part + 1
             if bad_at and part == int(bad_at):
                 raise RecordError("no service", field=KEY)
             yield None
@@ -59,39 +59,43 @@
     def decode(self, item):
         if item.key != KEY:
             return ServerEntry(item.key, "s", "10.0.0.1:1", "zone-a", 4, False, 0.0)
-        return next(whole for whole in self.read(item) if whole is not None)
+        return next(
+            configuration
+            for configuration in self.read(item)
+            if configuration is not None
+        )
 
 
 class Host:
-    """A view with its loader, running."""
+    """A view and its loader."""
 
     def __init__(self):
-        self.reader = Reader()
-        self.loader = ConfigurationLoader(self.reader.in_parts, SystemClock())
-        self.view = FleetView(ZONES, self.reader.decode, Lines(), loader=self.loader)
+        self.decoder = Decoder()
+        self.loader = ConfigurationLoader(self.decoder.decode_parts, SystemClock())
+        self.view = FleetView(ZONES, self.decoder.decode, Lines(), loader=self.loader)
 
     @property
     def version(self):
         return self.view.routes.version if self.view.routes else None
 
     @property
-    def refused(self):
+    def rejected(self):
         return len(self.view.events.of(Event.RECORD_REFUSED))
 
     def apply(self, *changes):
         self.view.apply(Changes(changes, changes[-1].revision), NOW)
 
-    async def async_turns(self, turns):
+    async def async_run_turns(self, turns):
         for _ in range(turns):
             await asyncio.sleep(0)
 
-    async def async_read_all(self):
-        # Nothing but the loader runs; each of its steps takes one turn.
+    async def async_decode_all(self):
+        # Only the loader runs; each of its steps takes one turn of the event loop.
         for _ in range(100):
             await asyncio.sleep(0)
             if not self.loader.waiting:
                 return
-        raise AssertionError("The loader has not come to an end.")
+        raise AssertionError("The loader has not finished.")
 
 
 @pytest.fixture
@@ -112,17 +116,17 @@
     return StoredItem(KEY, value.encode(), revision)
 
 
-async def test_a_small_version_is_in_force_at_once(host):
+async def test_a_small_version_is_active_at_once(host):
     host.apply(small("1", 1))
     assert host.version == 1
 
 
-async def test_a_large_version_is_read_in_short_steps(host):
+async def test_a_large_version_is_decoded_in_short_steps(host):
     host.apply(small("1", 1), large("2", 2))
     before, steps = 0, 0
     while host.version == 1:
         await asyncio.sleep(0)
-        read = host.reader.parts_read.get("2", 0)
+        read = host.decoder.parts_decoded.get("2", 0)
         assert read - before <= PARTS_PER_STEP
         before, steps = read, steps + 1
     assert host.version == 2
@@ -130,50 +134,52 @@
     assert len(host.view.events.of(Event.CONFIGURATION_IN_FORCE)) == 2
 
 
-@pytest.mark.parametrize("begun", [0, 1, 3], ids="{} steps done".format)
-async def test_the_newest_version_goes_first_and_older_ones_are_given_up(host, begun):
-    # An operator corrects a version while hosts read it. Read in their order, both
-    # would take their time, and the faulty one would be in force in between.
+@pytest.mark.parametrize("steps_done", [0, 1, 3], ids="{} steps done".format)
+async def test_the_newest_version_goes_first_and_older_ones_are_dropped(
+    host, steps_done
+):
+    # An operator corrects a version while hosts decode it. Decoded in order, both would
+    # take their full time, and the faulty one would be active in between.
     host.apply(large("1", 1), large("2", 2))
-    await host.async_turns(begun)
+    await host.async_run_turns(steps_done)
     host.apply(large("3", 3))
-    await host.async_read_all()
+    await host.async_decode_all()
     assert host.version == 3
     assert len(host.view.events.of(Event.CONFIGURATION_IN_FORCE)) == 1
-    assert host.reader.parts_read.get("1", 0) == 0
-    assert host.reader.parts_read.get("2", 0) <= begun * PARTS_PER_STEP
+    assert host.decoder.parts_decoded.get("1", 0) == 0
+    assert host.decoder.parts_decoded.get("2", 0) <= steps_done * PARTS_PER_STEP
 
 
 @pytest.mark.parametrize("bad_at", [0, 1, PARTS // 2, PARTS - 1])
-async def test_a_bad_version_leaves_the_last_good_one_in_force_whole(host, bad_at):
+async def test_a_bad_version_leaves_the_last_good_one_active(host, bad_at):
     host.apply(large("1", 1))
-    await host.async_read_all()
+    await host.async_decode_all()
     table = host.view.routes
     host.apply(large(f"2 bad {bad_at}", 2))
-    await host.async_read_all()
+    await host.async_decode_all()
     assert host.view.routes is table
-    assert host.refused == 1
+    assert host.rejected == 1
 
 
-@pytest.mark.parametrize("begun", [0, 3], ids="{} steps done".format)
-async def test_a_bad_version_does_not_take_a_good_one_with_it(host, begun):
-    # A good version is being read when a bad one comes. The bad one goes first, and is
-    # refused; callers then need the good one, not the one before it.
+@pytest.mark.parametrize("steps_done", [0, 3], ids="{} steps done".format)
+async def test_a_bad_version_does_not_drop_a_good_one_that_waits(host, steps_done):
+    # A good version is being decoded when a bad one arrives. The bad one goes first and
+    # is rejected; then the good one must become active, not the one before it.
     host.apply(small("1", 1), large("2", 2))
-    await host.async_turns(begun)
+    await host.async_run_turns(steps_done)
     host.apply(large("3 bad 700", 3))
-    await host.async_read_all()
+    await host.async_decode_all()
     assert host.version == 2
-    assert host.refused == 1
-    assert host.reader.parts_read["2"] == PARTS
+    assert host.rejected == 1
+    assert host.decoder.parts_decoded["2"] == PARTS
 
 
 async def test_a_small_version_waits_its_turn_behind_a_large_one(host):
     host.apply(large("1", 1))
     host.apply(small("2", 2))
-    await host.async_read_all()
+    await host.async_decode_all()
     assert host.version == 2
-    assert host.reader.parts_read.get("1", 0) == 0
+    assert host.decoder.parts_decoded.get("1", 0) == 0
 
 
 async def test_other_entries_do_not_wait_for_a_large_version(host):
@@ -182,56 +188,57 @@
     assert host.version is None
 
 
-async def test_a_version_that_comes_by_another_path_is_not_read_again(host):
-    # The watcher tells its region of a version, and so do gossip and a snapshot.
+async def test_a_version_that_arrives_twice_is_not_decoded_again(host):
+    # The same version arrives from the watcher, by gossip and in a snapshot.
     version = large("1", 1)
     host.apply(version)
-    await host.async_turns(2)
-    read = host.reader.parts_read["1"]
+    await host.async_run_turns(2)
+    read = host.decoder.parts_decoded["1"]
     host.apply(version)
     host.view.replace(Snapshot((version,), 1), NOW)
-    await host.async_turns(1)
-    assert host.reader.parts_read["1"] > read
-    await host.async_read_all()
+    await host.async_run_turns(1)
+    assert host.decoder.parts_decoded["1"] > read
+    await host.async_decode_all()
     host.apply(version)
     assert not host.loader.waiting
     assert len(host.view.events.of(Event.CONFIGURATION_IN_FORCE)) == 1
 
 
-async def test_a_version_whose_key_is_removed_meanwhile_comes_in_force(host):
-    # As one that was read at once does: a removal ends no configuration.
+async def test_a_version_whose_key_is_removed_meanwhile_becomes_active(host):
+    # A version that is decoded at once stays active too: removing its key does not
+    # deactivate a configuration.
     host.apply(large("1", 1))
     host.apply(RemovedKey(KEY, 2))
-    await host.async_read_all()
+    await host.async_decode_all()
     assert host.version == 1
 
 
-async def test_versions_that_wait_are_bounded(host):
+async def test_waiting_versions_are_bounded(host):
     host.apply(*(large(f"{number} bad 0", number) for number in range(1, 10)))
     assert len(host.loader.waiting) == WAITING_VERSIONS_MAX
-    await host.async_read_all()
-    assert host.refused == WAITING_VERSIONS_MAX
+    await host.async_decode_all()
+    assert host.rejected == WAITING_VERSIONS_MAX
 
 
-async def test_a_stop_in_the_middle_is_no_error():
+async def test_cancelling_the_loader_reports_no_error():
     host = Host()
-    told = []
+    errors = []
     loop = asyncio.get_running_loop()
-    loop.set_exception_handler(lambda _, context: told.append(context))
+    loop.set_exception_handler(lambda _, context: errors.append(context))
     task = asyncio.create_task(host.loader.async_run(host.view))
     host.apply(large("1", 1))
-    await host.async_turns(3)
+    await host.async_run_turns(3)
     task.cancel()
     await asyncio.wait([task])
     assert task.cancelled()
     del task
-    await host.async_turns(2)
-    assert 0 < host.reader.parts_read["1"] < PARTS
-    assert not told
+    await host.async_run_turns(2)
+    assert 0 < host.decoder.parts_decoded["1"] < PARTS
+    assert not errors
     assert not host.view.events.rows
 
 
-async def test_callers_are_answered_while_a_version_is_read_and_a_stop_ends_it():
+async def test_callers_are_answered_while_a_version_is_decoded_and_a_stop_cancels_it():
     def endless(item):
         if item.key == KEY:
             while True:
@@ -250,9 +257,9 @@
         assert not world.events.of(Event.RECORD_REFUSED)
 
 
-async def test_a_running_host_spares_the_collector_what_it_has_loaded():
-    # A full collection in the middle of a version walked through all that the process
-    # has imported, and no caller was answered meanwhile.
+async def test_a_running_host_freezes_loaded_objects_for_the_garbage_collector():
+    # A full garbage collection while a version was decoded traversed every object that
+    # the process had imported, and blocked all callers meanwhile.
     async with async_world(servers=1) as world:
         running = asyncio.create_task(world.daemon.stop_wanted.wait())
         world.daemon.async_start = lambda: asyncio.sleep(0)
--- a/packages/node/tests/test_gateway_follower.py
+++ b/packages/node/tests/test_gateway_follower.py
@@ -1,4 +1,4 @@
-"""Following a store that loses its history, fails, and comes back."""
+"""Following a store that loses its history, fails and recovers."""
 
 import asyncio
 import random
@@ -32,7 +32,7 @@
 
 
 class Script:
-    """Answer calls from a list; the last answer is given for ever."""
+    """Answer calls from a list; calls wait once it is empty."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -48,7 +48,7 @@
             raise answer
         return answer
 
-    async def answer_now(self, *call):
+    async def raise_next(self, *call):
         self.calls.append(call)
         raise self.answers.pop(0)
 
@@ -70,18 +70,18 @@
 
 
 class Peers:
-    """Peers that keep this host up to date, or not."""
+    """Peers that keep this host up to date unless it must watch the store."""
 
-    def __init__(self, must=True):
-        self.must = must
-        self.is_watcher = must
+    def __init__(self, must_watch_store=True):
+        self.must_watch_store = must_watch_store
+        self.is_watcher = must_watch_store
         self.ages = NewsAges(MovedClock())
         self.ages.peers_at = 0.0
         self.confirmed = []
         self.full_link = False
 
     def must_watch(self):
-        return self.must
+        return self.must_watch_store
 
     def link_is_full(self):
         return self.full_link
@@ -113,8 +113,8 @@
 
 
 async def test_lost_history_leads_to_a_snapshot(monkeypatch):
-    # The store drops its history while changes are made. A host that only asked on from
-    # where it was would never hear of them, and keep an old configuration in force.
+    # The store drops its history while changes are made. A host that only continued
+    # from its last revision would miss them and keep an old configuration active.
     calls, _, view = await async_follow(
         monkeypatch, Snapshot((), 4), HistoryLostError(), Snapshot((), 9)
     )
@@ -122,7 +122,7 @@
     assert view.revision == 9
 
 
-async def test_an_outage_is_told_once_and_following_goes_on(monkeypatch):
+async def test_an_outage_is_logged_once_and_following_continues(monkeypatch):
     calls, lines, view = await async_follow(
         monkeypatch,
         Snapshot((), 4),
@@ -149,9 +149,9 @@
             [("grant",), ("grant",), ("put", 7)],
         ),
     ],
-    ids=["calm", "lease lost", "store down"],
+    ids=["no failure", "lease lost", "store unavailable"],
 )
-async def test_a_host_keeps_its_entry(monkeypatch, answers, expected):
+async def test_a_host_maintains_its_entry(monkeypatch, answers, expected):
     monkeypatch.setattr(module, "RENEW_SECONDS", 0.001)
     monkeypatch.setattr(watchers, "PAUSE_SECONDS", 0.001)
     store = Script(*answers)
@@ -163,9 +163,9 @@
     assert store.calls[: len(expected)] == expected
 
 
-async def test_a_host_that_peers_keep_up_to_date_asks_only_at_its_start(monkeypatch):
-    # Each change wakes all waiting watches. With 83 of them the store answers the same
-    # question 83 times, and on the day on which it is slow none of them in time.
+async def test_a_host_that_peers_keep_up_to_date_reads_only_at_startup(monkeypatch):
+    # Each change completes all pending watches. With 83 hosts watching, the store sends
+    # the same response 83 times, and while it is slow none of them arrives in time.
     monkeypatch.setattr(module, "CHECK_SECONDS", 0.001)
     monkeypatch.setattr(module, "BATCH_SECONDS", 0)
     store, peers = Script(Snapshot((), 4), Changes((), 5), Changes((), 6)), Peers(False)
@@ -177,19 +177,19 @@
     await async_until(lambda: peers.confirmed == [0])
     await asyncio.sleep(0.02)
     assert store.calls == [("snapshot",)]
-    # The watcher is lost, and the news here gets stale.
-    peers.must = True
+    # The watcher is lost, so this host's view becomes stale.
+    peers.must_watch_store = True
     await async_until(lambda: view.revision == 6)
     task.cancel()
     assert peers.confirmed == [0, 4, 5]
-    told = follower.events.of(Event.STORE_WATCH_CHANGED)
-    assert [row["watching"] for row in told] == [False, True]
+    watch_events = follower.events.of(Event.STORE_WATCH_CHANGED)
+    assert [row["watching"] for row in watch_events] == [False, True]
 
 
-async def test_what_peers_brought_meanwhile_is_not_read_from_the_store(monkeypatch):
-    # A host starts, and its small link carries the store's answer for seconds. A peer
-    # brings everything in a moment. What still comes from the store would hold up the
-    # host's callers and bring nothing.
+async def test_a_read_that_peers_made_unnecessary_is_cancelled(monkeypatch):
+    # A host starts, and the store's response occupies its slow link for seconds. A peer
+    # sends everything within a moment. The rest of the store's response would delay the
+    # host's callers and contain nothing new.
     monkeypatch.setattr(module, "CHECK_SECONDS", 0.001)
     store, peers = Script(None), Peers()
     view = FleetView(ZONES, lambda item: None, Lines())
@@ -201,22 +201,25 @@
     task = asyncio.create_task(follower.async_run())
     await async_until(lambda: store.calls == [("snapshot",)])
     view.replace(Snapshot((), 7), 0.0)
-    peers.must = False
+    peers.must_watch_store = False
     await asyncio.sleep(0.02)
-    assert not counts, "what peers knew before the call may be older than its answer"
+    assert not counts, (
+        "peers' state from before the call may be older than the response"
+    )
     peers.ages.peers_at = follower.clock.monotonic()
     await async_until(lambda: counts["snapshot", "given_up"] == 1)
-    # The peers are lost: the host goes on from what they brought.
-    peers.must = True
+    # The peers are lost: the host continues from the state that they sent.
+    peers.must_watch_store = True
     await async_until(lambda: store.calls[-1] == ("changes", 7))
     task.cancel()
     assert follower.lost_at is None
 
 
-async def test_a_store_that_served_others_meanwhile_has_not_come_back(monkeypatch):
-    # The store turns this host away; its peers keep it up to date, so it stops asking.
-    # Later it asks again, and is answered. A server leaves in that moment: taken for an
-    # entry that lapsed in an outage, it would go on getting requests for two seconds.
+async def test_a_store_that_served_peers_meanwhile_was_not_unavailable(monkeypatch):
+    # The store rejects this host's calls; its peers keep it up to date, so it stops
+    # calling. Later it calls again and gets a response, just as a server leaves. If the
+    # removal counted as a lapse in an outage, the server would keep getting requests
+    # for two seconds.
     monkeypatch.setattr(module, "CHECK_SECONDS", 0.001)
     monkeypatch.setattr(watchers, "PAUSE_SECONDS", 0.001)
     store = Script(Snapshot((), 4), *[StoreError("status 503")] * 5_000)
@@ -227,17 +230,17 @@
     )
     task = asyncio.create_task(follower.async_run())
     await async_until(lambda: follower.lost_at is not None)
-    peers.must = False
+    peers.must_watch_store = False
     await async_until(lambda: not follower.watching)
     store.answers = [Changes((), 5)]
-    peers.must = True
+    peers.must_watch_store = True
     await async_until(lambda: view.revision == 5)
     task.cancel()
     assert view.lapses_until == float("-inf")
 
 
 @pytest.mark.parametrize(
-    ("peers_confirmed_ago", "full_link", "doubted"),
+    ("peers_confirmed_ago", "full_link", "may_be_lapse"),
     [
         (0.5, False, False),
         (2.2, False, False),
@@ -246,24 +249,25 @@
         (20.0, True, False),
     ],
     ids=[
-        "just now",
-        "entries last as long",
-        "entries may be gone",
-        "before the loss",
-        "the link was full",
+        "recently",
+        "within entry lifetime",
+        "entries may have lapsed",
+        "before the outage",
+        "link was saturated",
     ],
 )
-async def test_a_watcher_that_alone_was_turned_away_trusts_what_it_reads_then(
-    monkeypatch, peers_confirmed_ago, full_link, doubted
+async def test_a_watcher_that_alone_was_rejected_applies_removals_at_once(
+    monkeypatch, peers_confirmed_ago, full_link, may_be_lapse
 ):
-    # The store turns a region's watcher away for nine seconds and serves all others. A
-    # server's entry is removed just before it lets the watcher in again. The watcher
-    # took that for a lapse in an outage and told its region so: nine hosts sent callers
-    # there until 3.2 s after the removal, where 50 others stopped within 1.3 s; these
-    # nine logged it 2.0 to 2.6 s after the watcher's `store_available`. Only where
-    # nobody reached the store for as long as entries last can one have lapsed: three
-    # heartbeats of 1.5 s, less the one or so before the outage. On a full link a store
-    # that answers seems to be away.
+    # The store rejects the calls of one region's watcher for nine seconds and serves
+    # all other hosts. A server's entry is removed just before the watcher is served
+    # again. The watcher treated the removal as a lapse in an outage and passed that on
+    # to its region: nine hosts sent requests to the server until 3.2 s after the
+    # removal, while 50 others stopped within 1.3 s; the nine logged the removal 2.0 to
+    # 2.6 s after the watcher's `store_available`. An entry can only have lapsed if no
+    # host reached the store for as long as entries last: three heartbeats of 1.5 s,
+    # less about one before the outage. On a saturated link, a store that responds seems
+    # unavailable.
     monkeypatch.setattr(module, "BATCH_SECONDS", 0)
     store = Script(Snapshot((), 4), StoreError("status 429"), Changes((), 5))
     peers, clock = Peers(), MovedClock()
@@ -279,16 +283,16 @@
     task = asyncio.create_task(follower.async_run())
     await async_until(lambda: view.revision == 5)
     task.cancel()
-    assert (view.lapses_until > float("-inf")) is doubted
+    assert (view.lapses_until > float("-inf")) is may_be_lapse
 
 
-async def test_on_a_full_link_the_store_is_asked_for_servers_alone(monkeypatch):
-    # A host's link is full of answers, so no peer's news comes through, and the host
-    # asks the store. The operators have just added 1,400 routes: the answer held them
-    # all, came after 1.7 to 3.7 s over the same link, and with it word of five servers
-    # that leave. Callers were sent there for 3.1 s. Peers bring the configuration
-    # packed, in a twentieth of the bytes; only where they have not for three seconds it
-    # is read from the store.
+async def test_on_a_saturated_link_only_servers_entries_are_read(monkeypatch):
+    # Responses saturate a host's link, so no updates of peers arrive, and the host
+    # reads from the store. Operators have just added 1,400 routes. A response with all
+    # of them took 1.7 to 3.7 s over the same link and delayed the entries of five
+    # leaving servers, which got requests for 3.1 s. Peers send the configuration
+    # compressed, in a twentieth of the bytes. The host reads it from the store only if
+    # peers have not sent it for three seconds.
     monkeypatch.setattr(module, "CHECK_SECONDS", 0.001)
     monkeypatch.setattr(module, "BATCH_SECONDS", 0)
     store = Script(Snapshot((), 4))
@@ -303,9 +307,9 @@
     task.cancel()
     peers.full_link = True
     leaving = StoredItem("i-1", b"draining", 9)
-    emptied = StoredItem("zone-a", b"evacuated", 8)
+    evacuated = StoredItem("zone-a", b"evacuated", 8)
     store.answers = [
-        Changes((emptied,), 8, 0.3),
+        Changes((evacuated,), 8, 0.3),
         Changes((leaving,), 9, 0.2),
         Changes((), 11, 0.1),
         Changes((), 11, 0.1),
@@ -330,12 +334,12 @@
     task.cancel()
 
 
-@pytest.mark.parametrize(("watcher", "most"), [(True, 22), (False, 14)])
-async def test_hosts_ask_less_often_the_longer_the_store_is_away(
-    monkeypatch, watcher, most
+@pytest.mark.parametrize(("watcher", "max_calls"), [(True, 22), (False, 14)])
+async def test_hosts_call_less_often_the_longer_the_store_is_unavailable(
+    monkeypatch, watcher, max_calls
 ):
-    # The store resets every connection for 8 s. Each call in vain is paid for; asked
-    # four times a second by each of 87 hosts it cost a ninth of what the day was worth.
+    # The store resets every connection for 8 s. Failed calls are charged as well: four
+    # calls a second from each of 87 hosts cost a ninth of the day's earnings.
     slept = []
 
     async def async_sleep(seconds):
@@ -352,8 +356,8 @@
     monkeypatch.setattr(
         module, "asyncio", SimpleNamespace(sleep=async_sleep), raising=True
     )
-    store.answer = store.answer_now
+    store.answer = store.raise_next
     with pytest.raises(asyncio.CancelledError):
         await follower.async_run()
-    assert len(store.calls) <= most
+    assert len(store.calls) <= max_calls
     assert max(slept) <= (0.75 if watcher else 1.5)
--- a/packages/node/tests/test_gateway_news_orders.py
+++ b/packages/node/tests/test_gateway_news_orders.py
@@ -1,7 +1,8 @@
-"""Any order in which news of runs, removals, lapses and bad entries may come.
+"""Updates of incarnations, removals, lapses and bad entries in any order.
 
-A plain rule says what is in force: take one change of the store after the other. A host
-that hears of them by watch, snapshot and peers, late and doubled, must end there.
+A simple model determines which entries are active: it applies the store's changes one
+after the other. A host that gets them by watch, snapshot and peers, late and
+duplicated, must reach the same state.
 """
 
 from gateway_runs import (
@@ -46,7 +47,7 @@
 
 
 def history_of(rows):
-    """Return the changes that a store made, from revision 1 on."""
+    """Return the changes of a store, from revision 1 on."""
     changes = []
     for revision, (key, what) in enumerate(rows, start=1):
         if what == "remove":
@@ -58,25 +59,25 @@
     return changes
 
 
-def believed(seen):
-    """Say what is in force by the plainest rule: one change after the other."""
-    force = {}
+def expected_entries(seen):
+    """Return the active entries by the model: one change after the other."""
+    active = {}
     for change in sorted(seen, key=lambda row: row.revision):
         entry = None
         if isinstance(change, StoredItem) and change.value != b"?":
             entry = decode(change)
-        known = force.get(change.key)
+        known = active.get(change.key)
         if known and entry and known.born and entry.born and entry.born < known.born:
             continue
-        force[change.key] = entry
+        active[change.key] = entry
     return {
         entry.incarnation: entry.leaving
-        for entry in force.values()
+        for entry in active.values()
         if entry is not None
     }
 
 
-def in_force(fleet):
+def active_entries(fleet):
     table = fleet.servers
     assert members(fleet) == {
         row.incarnation
@@ -89,8 +90,8 @@
     }
 
 
-def at_revision(changes, revision):
-    """Return the items of a snapshot of the store."""
+def items_at(changes, revision):
+    """Return the store's items at a revision."""
     items = {}
     for change in changes[:revision]:
         items.pop(change.key, None)
@@ -99,12 +100,12 @@
     return items
 
 
-def play(fleet, changes, step, seen):
-    """Give a host some news, and note in ``seen`` what that says."""
+def apply_step(fleet, changes, step, seen):
+    """Send a host some updates and add the changes they contain to ``seen``."""
     kind, *rest = step
     if kind == "snapshot":
         revision = min(rest[0], len(changes))
-        items = at_revision(changes, revision)
+        items = items_at(changes, revision)
         if revision >= fleet.revision:
             absent = {change.key for change in seen} - set(items)
             seen.update(items.values())
@@ -112,22 +113,22 @@
         fleet.replace(Snapshot(tuple(items.values()), revision), NOW)
         return
     if kind == "watch":
-        news = changes[rest[0] : rest[0] + rest[1]]
+        updates = changes[rest[0] : rest[0] + rest[1]]
     else:
-        news = [changes[index] for index in rest[0] if index < len(changes)]
-    if news:
-        seen.update(news)
-        most = max(change.revision for change in news)
-        fleet.apply(Changes(tuple(news), most), NOW, {})
+        updates = [changes[index] for index in rest[0] if index < len(changes)]
+    if updates:
+        seen.update(updates)
+        newest = max(change.revision for change in updates)
+        fleet.apply(Changes(tuple(updates), newest), NOW, {})
 
 
 @given(rows=st.lists(CHANGE, max_size=9), steps=st.lists(STEP, max_size=8))
-def test_any_order_of_news_gives_what_the_plain_rule_gives(rows, steps):
+def test_any_order_of_updates_matches_the_model(rows, steps):
     changes, seen, fleet = history_of(rows), set(), view()
     for step in [*steps, ("watch", 0, len(changes))]:
-        play(fleet, changes, step, seen)
-        assert in_force(fleet) == believed(seen)
-    assert in_force(fleet) == believed(changes)
+        apply_step(fleet, changes, step, seen)
+        assert active_entries(fleet) == expected_entries(seen)
+    assert active_entries(fleet) == expected_entries(changes)
 
 
 @given(
@@ -135,28 +136,30 @@
     steps=st.lists(STEP, max_size=6),
     lapses=st.lists(st.tuples(st.integers(0, 8), st.booleans()), max_size=6),
 )
-def test_lapses_end_in_what_the_plain_rule_gives(rows, steps, lapses):
+def test_state_after_lapses_matches_the_model(rows, steps, lapses):
     changes, fleet = history_of(rows), view()
     for step in steps:
-        play(fleet, changes, step, set())
-    for index, doubtful in lapses:
+        apply_step(fleet, changes, step, set())
+    for index, may_be_lapse in lapses:
         if index < len(changes):
-            tell(fleet, changes[index], lapsed=KEYS if doubtful else ())
+            tell(fleet, changes[index], lapsed=KEYS if may_be_lapse else ())
     tell(fleet, *changes, lapsed=KEYS)
     fleet.tick(LATER)
-    assert in_force(fleet) == believed(changes)
+    assert active_entries(fleet) == expected_entries(changes)
 
 
 @given(rows=st.lists(CHANGE, max_size=9), behind=st.integers(0, 9))
-def test_a_host_that_starts_or_is_behind_believes_what_its_peer_believes(rows, behind):
-    changes, teller, asker = history_of(rows), view(), view()
-    tell(teller, *changes)
-    tell(asker, *changes[:behind])
-    news = teller.changes_after(asker.revision)
-    asker.apply(news, NOW, {})
-    assert in_force(asker) == in_force(teller) == believed(changes)
+def test_a_host_that_starts_or_lags_reaches_its_peers_state(rows, behind):
+    changes, sender, receiver = history_of(rows), view(), view()
+    tell(sender, *changes)
+    tell(receiver, *changes[:behind])
+    updates = sender.changes_after(receiver.revision)
+    receiver.apply(updates, NOW, {})
+    assert (
+        active_entries(receiver) == active_entries(sender) == expected_entries(changes)
+    )
     starting = view()
-    whole = Snapshot(tuple(teller.changes_after(0).changes), teller.revision)
+    whole = Snapshot(tuple(sender.changes_after(0).changes), sender.revision)
     items = tuple(row for row in whole.items if isinstance(row, StoredItem))
     starting.replace(Snapshot(items, whole.revision), NOW, {})
-    assert in_force(starting) == believed(changes)
+    assert active_entries(starting) == expected_entries(changes)
--- a/packages/node/tests/test_gateway_view.py
+++ b/packages/node/tests/test_gateway_view.py
@@ -1,8 +1,8 @@
-"""What a host believes, whatever order and way the store's news takes.
+"""A host's view of the fleet, in whatever order and way updates arrive.
 
-News comes from a watch, from a snapshot after a gap, and from peers, late and doubled.
-A host that let an older one win would send to a server that has left, or put back a
-configuration that operators have replaced.
+Updates come from a watch, from a snapshot after a gap, and from peers, late and
+duplicated. If an older one won, the host would send requests to a server that has left
+or return to a configuration that operators have replaced.
 """
 
 import pytest
@@ -74,7 +74,7 @@
     return fleet
 
 
-def test_a_snapshot_tells_everything():
+def test_a_snapshot_sets_servers_and_configuration():
     fleet = started()
     assert members(fleet) == ["i-1", "i-2"]
     assert fleet.routes.version == 3
@@ -98,9 +98,9 @@
     assert members(fleet) == left
 
 
-def test_a_zone_that_is_taken_back_is_cold():
-    # A zone is emptied and taken back. Nothing reached its servers meanwhile, so nobody
-    # saw them turn cold; all callers at once would crash them.
+def test_servers_are_cold_after_an_evacuation_ends():
+    # The servers of an evacuated zone get no requests, so no host notices when they
+    # become cold. All callers at once would crash them when the evacuation ends.
     fleet = started()
     fleet.apply(Changes((item("e", "evacuate:zone-a", 4),), 4), NOW)
     fleet.apply(Changes((RemovedKey("e", 5),), 5), NOW + 8)
@@ -109,7 +109,7 @@
     assert fleet.servers.servers["i-2"].cold_until == 0
 
 
-def test_what_a_later_snapshot_lacks_is_gone():
+def test_servers_missing_from_a_later_snapshot_are_removed():
     fleet = started()
     fleet.replace(Snapshot(START[:2], 9), NOW)
     assert members(fleet) == ["i-1"]
@@ -122,17 +122,17 @@
     assert members(fleet) == ["i-1", "i-2", "i-4"]
 
 
-def test_a_configuration_that_can_not_be_read_leaves_the_last_one_in_force():
+def test_an_invalid_configuration_leaves_the_last_one_active():
     fleet = started()
     fleet.apply(Changes((item("op", "bad:", 4),), 4), NOW)
     assert fleet.routes.version == 3
     assert fleet.events.of(Event.RECORD_REFUSED)[0]["field"] == "version"
 
 
-def test_entries_that_lapsed_in_an_outage_stay_until_they_had_time_to_return():
-    # The store was away, and all entries of servers lapsed with it. Taken at its word
-    # on its return, the host would refuse every caller for two seconds; the servers
-    # live and write their entries again. One that stays missing is gone.
+def test_entries_that_lapsed_in_an_outage_stay_until_they_can_be_rewritten():
+    # All servers' entries lapse during a store outage, but the servers are alive and
+    # write them again. If the host applied the removals at once, it would reject every
+    # caller for two seconds. An entry that stays missing is removed.
     fleet = started()
     fleet.store_returned(NOW)
     fleet.apply(Changes((RemovedKey("i-1", 4), RemovedKey("i-2", 5)), 5), NOW + 0.1)
@@ -142,7 +142,7 @@
     assert members(fleet) == ["i-1"]
 
 
-def test_a_removal_in_calm_times_is_believed_at_once():
+def test_a_removal_without_an_outage_takes_effect_at_once():
     fleet = started()
     fleet.store_returned(NOW)
     fleet.apply(Changes((RemovedKey("i-1", 4),), 4), NOW + 5)
@@ -153,15 +153,15 @@
     ("lapsed", "left"),
     [({}, ["i-2"]), ({"i-1": 0.0}, ["i-2"]), ({"i-1": 0.5}, ["i-1", "i-2"])],
 )
-def test_a_peer_says_which_removals_it_does_not_trust(lapsed, left):
+def test_a_peer_marks_removals_that_may_be_lapses(lapsed, left):
     fleet = started()
     fleet.apply(Changes((RemovedKey("i-1", 4),), 4), NOW, lapsed)
     assert members(fleet) == left
 
 
-def test_a_server_whose_address_another_one_has_gets_nothing_more():
-    # A server ended and its address went to another service. Its entry lapses seconds
-    # later; until then each of its keys' requests would be turned away there.
+def test_a_server_whose_address_another_one_has_gets_no_requests():
+    # A server stopped and its address went to another service. Its entry lapses seconds
+    # later; until then the other service would reject all requests for its keys.
     fleet = started()
     first = fleet.servers.servers["i-1"].incarnation
     fleet.note_replaced(first)
@@ -174,7 +174,7 @@
     assert members(fleet) == ["i-2"]
 
 
-def test_a_peer_that_lags_gets_what_it_lacks_and_no_more():
+def test_a_peer_that_lags_gets_only_the_changes_it_lacks():
     fleet = started()
     fleet.apply(Changes((RemovedKey("i-1", 4), item("op", "config:5", 5)), 5), NOW)
     changes = fleet.changes_after(3)
@@ -187,10 +187,10 @@
 
 @given(
     order=st.permutations(range(6)),
-    doubled=st.lists(st.integers(0, 5), max_size=6),
+    duplicated=st.lists(st.integers(0, 5), max_size=6),
 )
-def test_any_order_of_news_ends_in_the_same_belief(order, doubled):
-    news = [
+def test_any_order_of_updates_ends_in_the_same_state(order, duplicated):
+    updates = [
         item("i-1", "server:zone-a", 4),
         item("i-1", "server:zone-a,leaving", 6),
         RemovedKey("i-2", 7),
@@ -199,19 +199,19 @@
         item("i-5", "server:zone-b", 10),
     ]
     fleet = started()
-    for index in [*order, *doubled]:
+    for index in [*order, *duplicated]:
         before = fleet.routes.version
-        row = news[index]
+        row = updates[index]
         fleet.apply(Changes((row,), row.revision), NOW, {})
         assert fleet.routes.version >= before
     assert members(fleet) == ["i-5"]
     assert fleet.routes.version == 9
 
 
-def test_what_is_not_known_of_removals_stays_so(monkeypatch):
-    # A host read everything anew, so it does not know what was removed before. As many
-    # removals follow as it keeps. A peer that asks from before must be sent all items,
-    # or it would keep servers that left.
+def test_a_gap_in_known_removals_is_kept(monkeypatch):
+    # After a snapshot a host does not know which keys were removed before it. Then as
+    # many removals follow as the host keeps. A peer at a revision before the snapshot
+    # must get all items, or it would keep servers that have left.
     monkeypatch.setattr(module, "REMOVED_KEPT", 2)
     view = FleetView(ZONES, lambda item: Evacuation(item.key), Lines())
     view.apply(Changes((RemovedKey("a", 10), RemovedKey("b", 11)), 11), 0.0)
--- a/packages/node/tests/told_entries.py
+++ b/packages/node/tests/told_entries.py
@@ -1,4 +1,4 @@
-"""A host's view that is told entries in the platform's manner."""
+"""A host's view that gets entries in the platform's format."""
 
 import msgspec
 from gateway_world import ZONES, Lines
@@ -43,13 +43,13 @@
 
 
 def changed(document, **fields):
-    """Return a document with other fields; those that are None are left out."""
+    """Return a document with some fields replaced, without those set to None."""
     rest = {**document, **fields}
     return {name: value for name, value in rest.items() if value is not None}
 
 
 class Told:
-    """A host's view that is told one change after the other."""
+    """A host's view that gets one change after the other, writes twice."""
 
     def __init__(self) -> None:
         self.view = FleetView(dict(ZONES), decode_item, Lines())
