--- a/packages/node/greengagepoint_node/gateway/news_ages.py
+++ b/packages/node/greengagepoint_node/gateway/news_ages.py
@@ -27,8 +27,8 @@
 
     ``store_at`` is as of the last read from the store, ``peers_at`` as of the last
     update of peers that had read from it. ``servers_at`` is when all entries of backend
-    servers were last known, from the store or a peer. ``as_peers_at`` is when the view
-    last matched that of a peer while the store was unreachable.
+    servers were last known, from the store or a peer. ``matched_peer_at`` is when the
+    view last matched that of a peer while the store was unreachable.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -36,7 +36,7 @@
         self.store_at = NEVER
         self.peers_at = NEVER
         self.servers_at = NEVER
-        self.as_peers_at = NEVER
+        self.matched_peer_at = NEVER
 
     def note_store(self, seconds_ago: float) -> None:
         """Record that a read from the store completed the view ``seconds_ago``."""
@@ -54,7 +54,7 @@
         """
         self.peers_at = max(self.peers_at, sent_at - age)
         if age > STORE_UNREACHABLE_SECONDS and not full_link:
-            self.as_peers_at = max(self.as_peers_at, sent_at)
+            self.matched_peer_at = max(self.matched_peer_at, sent_at)
 
     def complete_at(self) -> float:
         """Return when the view was last complete."""
@@ -66,7 +66,7 @@
         If the store serves no host, the view is complete once it matches that of a
         peer, since no host can know more.
         """
-        return max(self.complete_at(), self.servers_at, self.as_peers_at)
+        return max(self.complete_at(), self.servers_at, self.matched_peer_at)
 
     def is_current(self) -> bool:
         """Return True if the view holds every configuration that must be active."""
--- a/packages/node/greengagepoint_node/gateway/view.py
+++ b/packages/node/greengagepoint_node/gateway/view.py
@@ -228,7 +228,7 @@
     def _decode_item(self, item: StoredItem) -> Write:
         """Return an item with its decoded entry or the error that rejects it.
 
-        A large configuration is decoded later and arrives through ``take_loaded``.
+        The loader decodes a large configuration later.
         """
         if self.loader is not None and self.loader.enqueue(item):
             self.certainty.note(item.revision, NEVER)
