--- a/packages/node/greengagepoint_node/gateway/configuration_loader.py
+++ b/packages/node/greengagepoint_node/gateway/configuration_loader.py
@@ -24,7 +24,7 @@
 class LoadedConfigurations(Protocol):
     """Receive decoded configurations."""
 
-    def take_loaded(self, entry: Configuration, now: float) -> None:
+    def apply_loaded(self, entry: Configuration, now: float) -> None:
         """Activate a version that was decoded completely."""
 
     def record_all_loaded(self) -> None:
@@ -88,7 +88,7 @@
             for configuration in islice(parts, PARTS_PER_STEP):
                 if configuration is not None:
                     self.waiting.clear()
-                    view.take_loaded(configuration, self.clock.monotonic())
+                    view.apply_loaded(configuration, self.clock.monotonic())
         except RecordError as error:
             self.waiting.pop()
             view.reject_version(item, error, self.clock.monotonic())
--- a/packages/node/greengagepoint_node/gateway/daemon.py
+++ b/packages/node/greengagepoint_node/gateway/daemon.py
@@ -40,7 +40,7 @@
 from greengagepoint_node.gateway.handler import Gateway
 from greengagepoint_node.gateway.listeners import Listener, create_socket
 from greengagepoint_node.gateway.metrics_handler import MetricsHandler
-from greengagepoint_node.gateway.news_guard import NewsGuard
+from greengagepoint_node.gateway.news_guard import StaleViewGuard
 from greengagepoint_node.gateway.peer_notifier import NEWS_PATH
 from greengagepoint_node.gateway.peer_session import (
     create_peer_session,
@@ -202,7 +202,7 @@
             self.clock,
             self.events,
             ages,
-            NewsGuard(self.clock, ages, self.link, settings.drain_seconds),
+            StaleViewGuard(self.clock, ages, self.link, settings.drain_seconds),
             self.quarantine,
             CallerAccounts(
                 self.view.certainty,
--- a/packages/node/greengagepoint_node/gateway/entry_checks.py
+++ b/packages/node/greengagepoint_node/gateway/entry_checks.py
@@ -15,7 +15,7 @@
 BORN_MAX: Final = 253_402_300_799_999
 
 
-def name_in(key: str, prefix: str) -> str:
+def name_from_key(key: str, prefix: str) -> str:
     """Return the name at the end of a key; it is used in headers and log lines.
 
     Raise ItemRefusedError if the key does not end with a valid name.
--- a/packages/node/greengagepoint_node/gateway/facts.py
+++ b/packages/node/greengagepoint_node/gateway/facts.py
@@ -116,7 +116,7 @@
     ends: tuple[SharedEnd, ...]
 
 
-Fact = Configuration | ServerEntry | Evacuation | HostEntry | QuarantineEntry
+StoreEntry = Configuration | ServerEntry | Evacuation | HostEntry | QuarantineEntry
 # Entries that hosts write.
 OwnEntry = HostEntry | QuarantineEntry
 
@@ -143,7 +143,7 @@
         self.reason = reason
 
 
-DecodeItem = Callable[[StoredItem], Fact | None]
+DecodeItem = Callable[[StoredItem], StoreEntry | None]
 # Yields None after each small part and the configuration after the last one. Raises
 # RecordError if a part can't be decoded.
 ConfigurationParts = Iterator[Configuration | None]
--- a/packages/node/greengagepoint_node/gateway/follower.py
+++ b/packages/node/greengagepoint_node/gateway/follower.py
@@ -25,7 +25,7 @@
     Part,
     PlatformStore,
 )
-from greengagepoint_node.gateway.news_ages import NewsAges
+from greengagepoint_node.gateway.news_ages import ViewFreshnessTracker
 from greengagepoint_node.gateway.settings import HEARTBEAT_SECONDS
 from greengagepoint_node.gateway.view import FleetView
 from greengagepoint_node.gateway.while_wanted import async_run_while_needed
@@ -52,7 +52,7 @@
     """Share store updates with peers and track whether peers share theirs."""
 
     is_watcher: bool
-    ages: NewsAges
+    ages: ViewFreshnessTracker
 
     def must_watch(self) -> bool:
         """Return True if this host has to read from the store itself."""
@@ -188,7 +188,7 @@
         self.view.apply(Changes(rows, self.view.revision), self.clock.monotonic())
         self.servers_revision = min(zones.revision, servers.revision)
         current_at = self.clock.monotonic() - servers.arriving_seconds
-        self.peers.ages.note_servers(current_at)
+        self.peers.ages.record_servers_complete(current_at)
         if rows:
             await asyncio.sleep(BATCH_SECONDS)
 
@@ -242,7 +242,7 @@
         )
         self.lost_at = None
         if unconfirmed:
-            self.view.store_returned(now)
+            self.view.expect_lapses(now)
 
 
 class HostRegistration:
--- a/packages/node/greengagepoint_node/gateway/gossip.py
+++ b/packages/node/greengagepoint_node/gateway/gossip.py
@@ -40,7 +40,7 @@
     HostTable,
 )
 from greengagepoint_node.gateway.message_writer import MessageWriter
-from greengagepoint_node.gateway.news_ages import NewsAges
+from greengagepoint_node.gateway.news_ages import ViewFreshnessTracker
 from greengagepoint_node.gateway.peer_notifier import PeerNotifier
 from greengagepoint_node.gateway.suspect_news import NoSuspects, SuspectNews
 from greengagepoint_node.gateway.transfer import async_read_answer, send_seconds
@@ -90,7 +90,7 @@
         self.distances = RegionDistances(own.entry.region)
         self.suspects: SuspectNews = NoSuspects()
         self.is_watcher = True
-        self.ages = NewsAges(clock)
+        self.ages = ViewFreshnessTracker(clock)
         self.partial_revision = 0
         self.link = LinkDelay()
         self.writer = MessageWriter(
@@ -146,7 +146,7 @@
     def confirm(self, before: int, seconds_ago: float) -> None:
         """Take in that the store told everything, and pass on what is new."""
         now = self.clock.monotonic()
-        self.ages.note_store(seconds_ago)
+        self.ages.record_store_read(seconds_ago)
         if not self.is_watcher or self.own.leaving:
             return
         # What was removed before then is told by all that is left, large or not.
@@ -331,7 +331,7 @@
         complete = self.view.revision >= message.revision
         if complete and message.age is not None and sent_after is not None:
             full_link = message.full_link
-            self.ages.note_peer(sent_after, message.age, full_link=full_link)
+            self.ages.record_peer_view(sent_after, message.age, full_link=full_link)
 
     def _take_partial(
         self, message: Message, after: int, sent_after: float | None
@@ -344,7 +344,7 @@
             return
         self.partial_revision = max(self.partial_revision, message.revision)
         if message.age is not None and sent_after is not None:
-            self.ages.note_servers(sent_after - message.age)
+            self.ages.record_servers_complete(sent_after - message.age)
 
     def _partial_revision(self) -> int:
         """Return up to which revision this host knows all but large values."""
--- a/packages/node/greengagepoint_node/gateway/handler.py
+++ b/packages/node/greengagepoint_node/gateway/handler.py
@@ -27,8 +27,8 @@
 )
 from greengagepoint_node.gateway.identity import RequestIdentity
 from greengagepoint_node.gateway.names import HeaderNames
-from greengagepoint_node.gateway.news_ages import News
-from greengagepoint_node.gateway.news_guard import NewsGuard
+from greengagepoint_node.gateway.news_ages import ViewFreshness
+from greengagepoint_node.gateway.news_guard import StaleViewGuard
 from greengagepoint_node.gateway.outcomes import Outcomes
 from greengagepoint_node.gateway.overdue import OverdueWatch
 from greengagepoint_node.gateway.passing import (
@@ -66,8 +66,8 @@
         counters: GatewayCounters,
         clock: Clock,
         events: EventSink,
-        news: News,
-        guard: NewsGuard,
+        news: ViewFreshness,
+        guard: StaleViewGuard,
         quarantine: RequestQuarantine,
         accounts: CallerAccounts,
     ) -> None:
--- a/packages/node/greengagepoint_node/gateway/known_servers.py
+++ b/packages/node/greengagepoint_node/gateway/known_servers.py
@@ -40,7 +40,7 @@
         if server is not None:
             self._drop_state(server, reason, revision)
 
-    def note_replaced(self, incarnation: Incarnation, revision: int) -> bool:
+    def record_replacement(self, incarnation: Incarnation, revision: int) -> bool:
         """Record that another server has this one's address.
 
         Return True if the server was not known to be leaving before.
--- a/packages/node/greengagepoint_node/gateway/message_writer.py
+++ b/packages/node/greengagepoint_node/gateway/message_writer.py
@@ -22,7 +22,7 @@
     HeardHost,
     HostTable,
 )
-from greengagepoint_node.gateway.news_ages import NewsAges
+from greengagepoint_node.gateway.news_ages import ViewFreshnessTracker
 from greengagepoint_node.gateway.packing import ItemPacker
 from greengagepoint_node.gateway.view import FleetView
 
@@ -35,7 +35,7 @@
         own: HostState,
         view: FleetView,
         table: HostTable,
-        ages: NewsAges,
+        ages: ViewFreshnessTracker,
         clock: Clock,
         link_is_full: Callable[[], bool],
     ) -> None:
--- a/packages/node/greengagepoint_node/gateway/news_ages.py
+++ b/packages/node/greengagepoint_node/gateway/news_ages.py
@@ -9,20 +9,20 @@
 NEVER = float("-inf")
 
 
-class News(Protocol):
+class ViewFreshness(Protocol):
     """Report when the view was last complete; monotonic seconds or minus infinity."""
 
     def complete_at(self) -> float:
         """Return when the view was last complete."""
 
-    def informed_at(self) -> float:
+    def servers_complete_at(self) -> float:
         """Return when the view last held all entries of backend servers."""
 
     def is_current(self) -> bool:
         """Return True if the view holds every configuration that must be active."""
 
 
-class NewsAges:
+class ViewFreshnessTracker:
     """The times at which this host's view was last complete; monotonic seconds.
 
     ``store_at`` is as of the last read from the store, ``peers_at`` as of the last
@@ -38,15 +38,15 @@
         self.servers_at = NEVER
         self.matched_peer_at = NEVER
 
-    def note_store(self, seconds_ago: float) -> None:
+    def record_store_read(self, seconds_ago: float) -> None:
         """Record that a read from the store completed the view ``seconds_ago``."""
         self.store_at = self.clock.monotonic() - seconds_ago
 
-    def note_servers(self, at: float) -> None:
+    def record_servers_complete(self, at: float) -> None:
         """Record that all entries of backend servers were known at a time."""
         self.servers_at = max(self.servers_at, at)
 
-    def note_peer(self, sent_at: float, age: float, *, full_link: bool) -> None:
+    def record_peer_view(self, sent_at: float, age: float, *, full_link: bool) -> None:
         """Record that a peer sent its whole view, which was ``age`` seconds old.
 
         A peer on a saturated link may know less than other hosts. For any other peer
@@ -60,7 +60,7 @@
         """Return when the view was last complete."""
         return max(self.store_at, self.peers_at)
 
-    def informed_at(self) -> float:
+    def servers_complete_at(self) -> float:
         """Return when the view last held all entries of backend servers.
 
         If the store serves no host, the view is complete once it matches that of a
--- a/packages/node/greengagepoint_node/gateway/news_guard.py
+++ b/packages/node/greengagepoint_node/gateway/news_guard.py
@@ -5,13 +5,13 @@
 from greengagepoint.errors import ErrorKind
 from greengagepoint.overload.full_link import LinkDelay, may_send
 from greengagepoint.protocols import Clock
-from greengagepoint_node.gateway.news_ages import News
+from greengagepoint_node.gateway.news_ages import ViewFreshness
 from greengagepoint_node.gateway.refusals import OLD_NEWS_RETRY_SECONDS, Refusal
 
 REASON: Final = "this host's link is full and its news too old"
 
 
-class NewsGuard:
+class StaleViewGuard:
     """Check whether this host's view is fresh enough to send requests.
 
     ``drain_seconds`` is how long a server accepts requests after it announces that it
@@ -19,7 +19,11 @@
     """
 
     def __init__(
-        self, clock: Clock, freshness: News, link: LinkDelay, drain_seconds: float
+        self,
+        clock: Clock,
+        freshness: ViewFreshness,
+        link: LinkDelay,
+        drain_seconds: float,
     ) -> None:
         self.clock = clock
         self.freshness = freshness
@@ -32,7 +36,7 @@
         Servers that this host does not know to be leaving are included.
         """
         now = self.clock.monotonic()
-        age = now - self.freshness.informed_at()
+        age = now - self.freshness.servers_complete_at()
         link_seconds = self.link.seconds(now)
         return may_send(age, link_seconds, connect_seconds, self.drain_seconds)
 
@@ -44,7 +48,7 @@
         """
         now = self.clock.monotonic()
         inputs = {
-            "news_age": round(now - self.freshness.informed_at(), 3),
+            "news_age": round(now - self.freshness.servers_complete_at(), 3),
             "link_seconds": round(self.link.seconds(now), 3),
         }
         kind, retry_after = ErrorKind.NOT_READY, OLD_NEWS_RETRY_SECONDS
--- a/packages/node/greengagepoint_node/gateway/placing.py
+++ b/packages/node/greengagepoint_node/gateway/placing.py
@@ -160,7 +160,7 @@
         elif exchange.verdict is Verdict.SHED:
             suspicion.note_answer(server, now)
         elif exchange.verdict is Verdict.OTHER_SERVER:
-            self.view.note_replaced(server.incarnation)
+            self.view.record_replacement(server.incarnation)
         elif exchange.verdict in (Verdict.UNREACHABLE, Verdict.BROKEN):
             self.suspect(server, exchange.verdict, now)
 
--- a/packages/node/greengagepoint_node/gateway/refused.py
+++ b/packages/node/greengagepoint_node/gateway/refused.py
@@ -12,7 +12,7 @@
 # A faulty writer may write continuously, and its log lines would crowd out those that
 # explain failed requests. The counter includes every rejected item.
 LINES_PER_SECOND: Final = 10.0
-LINES_AT_ONCE: Final = 200.0
+LINES_BURST: Final = 200.0
 # Characters; a key or value of megabytes would make a log line of megabytes.
 TEXT_MAX: Final = 200
 
@@ -31,8 +31,8 @@
         if isinstance(error, ItemRefusedError):
             reason = error.reason
         self.counts[(str(reason),)] += 1
-        self.line_budget = self.line_budget or TokenBucket(LINES_AT_ONCE, now)
-        if take(self.line_budget, LINES_PER_SECOND, LINES_AT_ONCE, now) > 0:
+        self.line_budget = self.line_budget or TokenBucket(LINES_BURST, now)
+        if take(self.line_budget, LINES_PER_SECOND, LINES_BURST, now) > 0:
             return
         self.events.record(
             Event.RECORD_REFUSED,
--- a/packages/node/greengagepoint_node/gateway/view.py
+++ b/packages/node/greengagepoint_node/gateway/view.py
@@ -15,7 +15,6 @@
     Configuration,
     DecodeItem,
     Evacuation,
-    Fact,
     HostEntry,
     ItemRefusedError,
     Loader,
@@ -25,6 +24,7 @@
     ServerEntry,
     Snapshot,
     StoredItem,
+    StoreEntry,
     is_large,
 )
 from greengagepoint_node.gateway.known_servers import KnownServers
@@ -67,7 +67,7 @@
         self.loader = loader
         self.revision = 0
         self.writes: dict[str, KeyWrites] = {}
-        self.entries: dict[str, Fact] = {}
+        self.entries: dict[str, StoreEntry] = {}
         self.removed: dict[str, int] = {}
         self.removed_complete_after = 0
         self.lapsed: dict[str, float] = {}
@@ -86,7 +86,7 @@
         self.quarantine: QuarantineEntries = NoQuarantine()
         self.certainty = Certainty()
 
-    def store_returned(self, now: float) -> None:
+    def expect_lapses(self, now: float) -> None:
         """Treat removals read shortly after this as lapses, not as departures."""
         self.lapses_until = now + RETURN_SECONDS
 
@@ -179,14 +179,14 @@
             for write in writes.writes:
                 yield write.item
 
-    def note_replaced(self, incarnation: Incarnation) -> None:
+    def record_replacement(self, incarnation: Incarnation) -> None:
         """Record that another server answers at the address of this incarnation.
 
         A server keeps its address until it stops, so this incarnation has ended. Its
         entry lapses seconds later; until then every request to it would be rejected
         and retried at the expense of the retry budget.
         """
-        if self.known.note_replaced(incarnation, self.revision):
+        if self.known.record_replacement(incarnation, self.revision):
             self._rebuild_members()
 
     def unconfirmed_removals(self, now: float) -> dict[str, float]:
@@ -240,7 +240,7 @@
             return Write(item, error=error)
         return Write(item, entry)
 
-    def take_loaded(self, entry: Configuration, now: float) -> None:
+    def apply_loaded(self, entry: Configuration, now: float) -> None:
         """Activate a configuration that the loader has decoded."""
         if self._activate(entry, now):
             self._rebuild(now)
@@ -253,7 +253,7 @@
         """Record that the loader can't decode a version; the last valid one stays."""
         self.rejected.record_rejection(item.key, error, now)
 
-    def _check_zone(self, key: str, entry: Fact | None) -> None:
+    def _check_zone(self, key: str, entry: StoreEntry | None) -> None:
         """Raise ItemRefusedError if the zone of an entry is not in the settings."""
         has_zone = isinstance(entry, ServerEntry | HostEntry | Evacuation)
         if has_zone and entry.zone not in self.zones:
@@ -284,7 +284,7 @@
         self.entries[key] = latest
         return self._activate(latest, now)
 
-    def _activate(self, entry: Fact, now: float) -> bool:
+    def _activate(self, entry: StoreEntry, now: float) -> bool:
         """Activate an entry; return True if the server membership may have changed."""
         if isinstance(entry, Configuration):
             before = self.routes
@@ -413,7 +413,7 @@
         self.servers.rebuild()
 
 
-def _is_older_incarnation(latest: Fact | None, known: Fact | None) -> bool:
+def _is_older_incarnation(latest: StoreEntry | None, known: StoreEntry | None) -> bool:
     """Return True if an entry's incarnation started before the known one."""
     if not isinstance(latest, ServerEntry) or not isinstance(known, ServerEntry):
         return False
--- a/packages/node/tests/test_gateway_accounts.py
+++ b/packages/node/tests/test_gateway_accounts.py
@@ -201,7 +201,7 @@
         builder.add_service(policy)
     for account, keys in ACCOUNTS:
         builder.add_account(account, [row for row in keys if row != key])
-    view.take_loaded(Configuration(builder.table()), world.clock.monotonic())
+    view.apply_loaded(Configuration(builder.table()), world.clock.monotonic())
 
 
 async def test_an_account_over_its_limit_does_not_touch_another():
--- a/packages/node/tests/test_gateway_follower.py
+++ b/packages/node/tests/test_gateway_follower.py
@@ -26,7 +26,7 @@
     StoredItem,
 )
 from greengagepoint_node.gateway.follower import HostRegistration, StoreFollower
-from greengagepoint_node.gateway.news_ages import NewsAges
+from greengagepoint_node.gateway.news_ages import ViewFreshnessTracker
 from greengagepoint_node.gateway.store_counts import CountedStore
 from greengagepoint_node.gateway.view import FleetView
 
@@ -75,7 +75,7 @@
     def __init__(self, must_watch_store=True):
         self.must_watch_store = must_watch_store
         self.is_watcher = must_watch_store
-        self.ages = NewsAges(MovedClock())
+        self.ages = ViewFreshnessTracker(MovedClock())
         self.ages.peers_at = 0.0
         self.confirmed = []
         self.full_link = False
--- a/packages/node/tests/test_gateway_gossip.py
+++ b/packages/node/tests/test_gateway_gossip.py
@@ -386,7 +386,7 @@
         one.view.decode = decode_server
         one.view.apply(Changes((StoredItem("i-1", b"", 4),), 4), NOW)
     first, second, third = hosts
-    first.view.store_returned(NOW)
+    first.view.expect_lapses(NOW)
     first.view.apply(Changes((RemovedKey("i-1", 5),), 5), NOW)
     for seconds, one, other in [(1.5, second, first), (0.4, third, second)]:
         clock.now += seconds
--- a/packages/node/tests/test_gateway_incarnations.py
+++ b/packages/node/tests/test_gateway_incarnations.py
@@ -135,9 +135,9 @@
     # host hears it when the new run has been taken in at its own address.
     fleet = started()
     tell(fleet, write(3, 200, THERE))
-    fleet.note_replaced(run(100))
+    fleet.record_replacement(run(100))
     assert members(fleet) == {run(200, THERE)}
-    fleet.note_replaced(run(200, THERE))
+    fleet.record_replacement(run(200, THERE))
     assert members(fleet) == set()
     tell(fleet, write(4, 300))
     assert members(fleet) == {run(300)}
--- a/packages/node/tests/test_gateway_leaving_servers.py
+++ b/packages/node/tests/test_gateway_leaving_servers.py
@@ -47,7 +47,7 @@
 
 def replace_at_address(world, instance):
     row = world.daemon.view.servers.servers[instance]
-    world.daemon.view.note_replaced(row.incarnation)
+    world.daemon.view.record_replacement(row.incarnation)
 
 
 async def async_choose(world, path, method):
--- a/packages/node/tests/test_gateway_peer_notifier.py
+++ b/packages/node/tests/test_gateway_peer_notifier.py
@@ -144,7 +144,7 @@
     for body in await async_tell_beside_a_large_value(watcher, session):
         await peer.async_take_news(Request(body))
     assert peer.view.evacuated_at == {"zone-a": NOW}
-    assert peer.ages.informed_at() == NOW
+    assert peer.ages.servers_complete_at() == NOW
     # The large value is still to come: unknown paths may be known to others.
     assert peer.view.revision == 0
     assert not peer.ages.is_current()
@@ -162,7 +162,7 @@
     peer = host("p", session=Session())
     bodies = await async_tell_beside_a_large_value(watcher, session)
     await peer.async_take_news(Request(bodies[-1]))
-    assert peer.ages.informed_at() < NOW
+    assert peer.ages.servers_complete_at() < NOW
     assert set(peer.under_way) == {"w:2"}
     for task in peer.under_way.values():
         task.cancel()
--- a/packages/node/tests/test_gateway_view.py
+++ b/packages/node/tests/test_gateway_view.py
@@ -134,7 +134,7 @@
     # write them again. If the host applied the removals at once, it would reject every
     # caller for two seconds. An entry that stays missing is removed.
     fleet = started()
-    fleet.store_returned(NOW)
+    fleet.expect_lapses(NOW)
     fleet.apply(Changes((RemovedKey("i-1", 4), RemovedKey("i-2", 5)), 5), NOW + 0.1)
     assert members(fleet) == ["i-1", "i-2"]
     fleet.apply(Changes((item("i-1", "server:zone-a", 6),), 6), NOW + 1.0)
@@ -144,7 +144,7 @@
 
 def test_a_removal_without_an_outage_takes_effect_at_once():
     fleet = started()
-    fleet.store_returned(NOW)
+    fleet.expect_lapses(NOW)
     fleet.apply(Changes((RemovedKey("i-1", 4),), 4), NOW + 5)
     assert members(fleet) == ["i-2"]
 
@@ -164,9 +164,9 @@
     # later; until then the other service would reject all requests for its keys.
     fleet = started()
     first = fleet.servers.servers["i-1"].incarnation
-    fleet.note_replaced(first)
-    fleet.note_replaced(first)
-    fleet.note_replaced(first._replace(instance="unknown"))
+    fleet.record_replacement(first)
+    fleet.record_replacement(first)
+    fleet.record_replacement(first._replace(instance="unknown"))
     assert members(fleet) == ["i-2"]
     (line,) = fleet.events.of(Event.BACKEND_SERVER_LEAVING)
     assert line["instance"] == "i-1"
--- a/packages/node/tests/told_entries.py
+++ b/packages/node/tests/told_entries.py
@@ -42,13 +42,13 @@
     return document if isinstance(document, bytes) else msgspec.json.encode(document)
 
 
-def changed(document, **fields):
+def with_fields(document, **fields):
     """Return a document with some fields replaced, without those set to None."""
     rest = {**document, **fields}
     return {name: value for name, value in rest.items() if value is not None}
 
 
-class Told:
+class ViewFixture:
     """A host's view that gets one change after the other, writes twice."""
 
     def __init__(self) -> None:
@@ -74,15 +74,15 @@
         lines = self.view.events.of(Event.RECORD_REFUSED)
         return [(line["key"], str(line["reason"])) for line in lines]
 
-    def counted(self):
+    def rejection_counts(self):
         return {reason: count for (reason,), count in self.view.rejected.counts.items()}
 
 
-def told():
-    fleet = Told()
+def create_view_fixture():
+    fleet = ViewFixture()
     fleet.put("op/config", configuration(1, "booking"))
     fleet.put("servers/i-1", ENTRY)
-    fleet.put("servers/i-2", changed(ENTRY, address="10.0.0.2:8080"))
+    fleet.put("servers/i-2", with_fields(ENTRY, address="10.0.0.2:8080"))
     assert fleet.members() == ["i-1", "i-2"]
     assert fleet.refused() == []
     return fleet
--- a/packages/platform_tests/tests/test_platform_entries.py
+++ b/packages/platform_tests/tests/test_platform_entries.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from told_entries import BORN, ENTRY, changed, told
+from told_entries import BORN, ENTRY, create_view_fixture, with_fields
 
 from greengagepoint.placing.tables import Incarnation
 
@@ -28,7 +28,7 @@
 def missing():
     """Yield entries that lack one field."""
     for name in ENTRY.keys() - {"version", "born"}:
-        yield pytest.param(changed(ENTRY, **{name: None}), "field", id=f"no {name}")
+        yield pytest.param(with_fields(ENTRY, **{name: None}), "field", id=f"no {name}")
 
 
 ADDRESSES = (
@@ -77,7 +77,9 @@
     *other_types(),
     *missing(),
     *(
-        pytest.param(changed(ENTRY, **{name: value}), reason, id=f"{name}={value!r}")
+        pytest.param(
+            with_fields(ENTRY, **{name: value}), reason, id=f"{name}={value!r}"
+        )
         for name, value, reason in (
             ("state", "new", "state"),
             ("state", "", "state"),
@@ -104,28 +106,30 @@
         )
     ),
     *(
-        pytest.param(changed(ENTRY, address=text), "address", id=f"address={text!r}")
+        pytest.param(
+            with_fields(ENTRY, address=text), "address", id=f"address={text!r}"
+        )
         for text in ADDRESSES
     ),
     *(pytest.param(raw, None, id=f"bytes {raw[:20]!r}") for raw in BYTES),
 ]
 GOOD = [
     ENTRY,
-    changed(ENTRY, born=None),
-    changed(ENTRY, version=None),
-    changed(ENTRY, version=7),
-    changed(ENTRY, born=0),
-    changed(ENTRY, coldLeftS=0),
-    changed(ENTRY, zone="zone-b"),
-    changed(ENTRY, slots=1),
-    changed(ENTRY, address="10.0.0.1:65535"),
-    changed(ENTRY, later={"field": [1]}),
+    with_fields(ENTRY, born=None),
+    with_fields(ENTRY, version=None),
+    with_fields(ENTRY, version=7),
+    with_fields(ENTRY, born=0),
+    with_fields(ENTRY, coldLeftS=0),
+    with_fields(ENTRY, zone="zone-b"),
+    with_fields(ENTRY, slots=1),
+    with_fields(ENTRY, address="10.0.0.1:65535"),
+    with_fields(ENTRY, later={"field": [1]}),
 ]
 
 
 @pytest.mark.parametrize("document", GOOD)
 def test_a_good_entry_names_a_server(document):
-    fleet = told()
+    fleet = create_view_fixture()
     fleet.put("servers/i-3", document)
     assert fleet.members() == ["i-1", "i-2", "i-3"]
     assert fleet.refused() == []
@@ -136,7 +140,7 @@
     # Another writer's entry takes the place of a good one, and one comes at a new key.
     # Callers of the other server notice nothing. The log and the counter tell of each
     # once, however often the news comes. A good entry is taken again.
-    fleet = told()
+    fleet = create_view_fixture()
     fleet.put("servers/i-1", document)
     assert fleet.members() == ["i-2"]
     fleet.put("servers/i-3", document)
@@ -144,9 +148,9 @@
     assert [key for key, _ in fleet.refused()] == ["servers/i-1", "servers/i-3"]
     if reason is not None:
         assert fleet.refused()[0][1] == reason
-        assert fleet.counted() == {reason: 2}
-    assert sum(fleet.counted().values()) == 2
-    fleet.put("servers/i-1", changed(ENTRY, born=BORN + 1))
+        assert fleet.rejection_counts() == {reason: 2}
+    assert sum(fleet.rejection_counts().values()) == 2
+    fleet.put("servers/i-1", with_fields(ENTRY, born=BORN + 1))
     assert fleet.members() == ["i-1", "i-2"]
     assert fleet.view.servers.servers["i-1"].incarnation == Incarnation(
         "i-1", BORN + 1, "10.0.0.1:8080"
@@ -157,7 +161,7 @@
 
 
 def test_a_draining_server_is_good_and_gets_nothing():
-    fleet = told()
-    fleet.put("servers/i-1", changed(ENTRY, state="draining"))
+    fleet = create_view_fixture()
+    fleet.put("servers/i-1", with_fields(ENTRY, state="draining"))
     assert fleet.members() == ["i-2"]
     assert fleet.refused() == []
--- a/packages/platform_tests/tests/test_platform_refused_items.py
+++ b/packages/platform_tests/tests/test_platform_refused_items.py
@@ -4,10 +4,18 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from told_entries import BORN, ENTRY, HOST, Told, changed, configuration, told
+from told_entries import (
+    BORN,
+    ENTRY,
+    HOST,
+    ViewFixture,
+    configuration,
+    create_view_fixture,
+    with_fields,
+)
 
 from greengagepoint.events import Event
-from greengagepoint_node.gateway.refused import LINES_AT_ONCE, TEXT_MAX
+from greengagepoint_node.gateway.refused import LINES_BURST, TEXT_MAX
 
 
 @pytest.mark.parametrize(
@@ -26,7 +34,7 @@
 def test_a_key_of_another_shape_names_no_server(key):
     # A server's id goes into a header of each request to it. With a line break in it
     # every request that was placed there would fail.
-    fleet = told()
+    fleet = create_view_fixture()
     fleet.put(key, ENTRY)
     assert fleet.members() == ["i-1", "i-2"]
     assert fleet.refused() == [(key[:TEXT_MAX], "key")]
@@ -35,8 +43,8 @@
 def test_an_entry_that_comes_before_the_configuration_that_names_its_service():
     # Operators add a service; its servers' entries come first. Forgotten, they would
     # get nothing when the configuration is in force, since they do not change.
-    fleet = told()
-    fleet.put("servers/i-3", changed(ENTRY, service="lifts"))
+    fleet = create_view_fixture()
+    fleet.put("servers/i-3", with_fields(ENTRY, service="lifts"))
     assert fleet.members() == ["i-1", "i-2"]
     fleet.put("op/config", configuration(2, "booking", "lifts"))
     assert fleet.members() == ["i-1", "i-2", "i-3"]
@@ -58,9 +66,9 @@
 
 
 def test_entries_that_come_before_any_configuration():
-    fleet = Told()
+    fleet = ViewFixture()
     fleet.put("servers/i-1", ENTRY)
-    fleet.put("servers/i-2", changed(ENTRY, service="mystery"))
+    fleet.put("servers/i-2", with_fields(ENTRY, service="mystery"))
     fleet.put("op/config", configuration(1, "booking"))
     assert fleet.members() == ["i-1"]
     assert fleet.refused() == [("servers/i-2", "service")]
@@ -69,23 +77,23 @@
 @pytest.mark.parametrize(
     ("key", "document", "reason"),
     [
-        ("hosts/h1", changed(HOST, name="h2"), "key"),
-        ("hosts/", changed(HOST, name=""), "key"),
+        ("hosts/h1", with_fields(HOST, name="h2"), "key"),
+        ("hosts/", with_fields(HOST, name=""), "key"),
         ("hosts/h1/x", HOST, "key"),
-        ("hosts/h1", changed(HOST, zone="zone-z"), "zone"),
-        ("hosts/h1", changed(HOST, region=None), "field"),
-        ("hosts/h1", changed(HOST, front_address=7), "field"),
-        ("hosts/h1", changed(HOST, front_address="h1:1"), "address"),
-        ("hosts/h1", changed(HOST, peer_address="10.0.0.1:0"), "address"),
+        ("hosts/h1", with_fields(HOST, zone="zone-z"), "zone"),
+        ("hosts/h1", with_fields(HOST, region=None), "field"),
+        ("hosts/h1", with_fields(HOST, front_address=7), "field"),
+        ("hosts/h1", with_fields(HOST, front_address="h1:1"), "address"),
+        ("hosts/h1", with_fields(HOST, peer_address="10.0.0.1:0"), "address"),
         ("hosts/h1", b"\xff", "unreadable"),
         ("hosts/h1", b"", "unreadable"),
     ],
 )
 def test_a_bad_entry_of_a_host_names_none(key, document, reason):
     # Exchanges with such a host would fail, and take the place of good ones.
-    fleet = told()
+    fleet = create_view_fixture()
     fleet.put("hosts/h1", HOST)
-    fleet.put("hosts/h2", changed(HOST, name="h2"))
+    fleet.put("hosts/h2", with_fields(HOST, name="h2"))
     assert set(fleet.view.hosts) == {"h1", "h2"}
     fleet.put(key, document)
     left = {"h2"} if key == "hosts/h1" else {"h1", "h2"}
@@ -97,7 +105,7 @@
 
 @pytest.mark.parametrize("value", [b"", b"\xff", b"null", b"{}", b'{"zone": "zone-b"}'])
 def test_an_evacuation_holds_whatever_its_value(value):
-    fleet = told()
+    fleet = create_view_fixture()
     fleet.put("op/evacuate/zone-a", value)
     assert fleet.members() == []
     fleet.remove("op/evacuate/zone-a")
@@ -106,7 +114,7 @@
 
 @pytest.mark.parametrize("zone", ["zone-z", "", "zone-a/x", "zone a", "ZONE-A"])
 def test_an_evacuation_of_no_zone_empties_none(zone):
-    fleet = told()
+    fleet = create_view_fixture()
     fleet.put(f"op/evacuate/{zone}", {})
     fleet.remove(f"op/evacuate/{zone}")
     assert fleet.members() == ["i-1", "i-2"]
@@ -115,20 +123,20 @@
 
 
 def test_a_zone_of_any_name_that_the_settings_give_can_be_emptied():
-    fleet = told()
+    fleet = create_view_fixture()
     fleet.view.zones["zone ζ/1"] = "north"
     fleet.put("op/evacuate/zone ζ/1", {})
     assert list(fleet.view.evacuated_at) == ["zone ζ/1"]
 
 
 def test_lines_of_a_writer_that_never_ends_are_bounded_and_counts_are_not():
-    fleet = told()
-    for number in range(2 * int(LINES_AT_ONCE)):
+    fleet = create_view_fixture()
+    for number in range(2 * int(LINES_BURST)):
         fleet.put(f"servers/{number}" + "x" * 999, b"x" * 999)
     lines = fleet.view.events.of(Event.RECORD_REFUSED)
-    assert len(lines) == LINES_AT_ONCE
+    assert len(lines) == LINES_BURST
     assert all(len(line["key"]) <= TEXT_MAX for line in lines)
-    assert sum(fleet.counted().values()) == 2 * LINES_AT_ONCE
+    assert sum(fleet.rejection_counts().values()) == 2 * LINES_BURST
 
 
 @given(
@@ -138,7 +146,7 @@
     value=st.binary(max_size=64),
 )
 def test_any_bytes_leave_all_other_keys_as_they_were(key, value):
-    fleet = told()
+    fleet = create_view_fixture()
     fleet.put(key, value)
     assert "i-2" in fleet.members()
     assert set(fleet.members()) <= {"i-1", "i-2"}
@@ -147,7 +155,7 @@
 
 @given(value=st.binary(max_size=64))
 def test_any_bytes_leave_the_configuration_in_force(value):
-    fleet = told()
+    fleet = create_view_fixture()
     fleet.put("op/config", value)
     assert fleet.view.routes.version == 1
     assert fleet.members() == ["i-1", "i-2"]
@@ -169,7 +177,7 @@
 
 @given(fields=st.dictionaries(st.sampled_from(sorted(ENTRY)), JSON, max_size=3))
 def test_an_entry_of_any_fields_is_good_as_a_whole_or_names_nothing(fields):
-    fleet = told()
+    fleet = create_view_fixture()
     fleet.put("servers/i-1", {**ENTRY, **fields})
     assert "i-2" in fleet.members()
     refused = fleet.refused()
@@ -185,6 +193,6 @@
 
 @given(value=JSON)
 def test_any_document_leaves_all_other_keys_as_they_were(value):
-    fleet = told()
+    fleet = create_view_fixture()
     fleet.put("servers/i-1", msgspec.json.encode(value))
     assert fleet.members() == ["i-2"]
