--- a/measure/large_configuration.py
+++ b/measure/large_configuration.py
@@ -23,7 +23,7 @@
 from greengagepoint.routing.tables import RouteTable, find_route
 from greengagepoint_node.clock import SystemClock
 from greengagepoint_node.gateway.configuration_loader import ConfigurationLoader
-from greengagepoint_node.gateway.facts import Changes, StoredItem
+from greengagepoint_node.gateway.store_types import Changes, StoredItem
 from greengagepoint_node.gateway.view import FleetView
 from greengagepoint_platform.configuration import read_in_parts
 from greengagepoint_platform.decoding import decode_item
--- a/measure/large_values.py
+++ b/measure/large_values.py
@@ -11,9 +11,9 @@
 from statistics import median
 from typing import Final
 
-from greengagepoint_node.gateway.facts import StoredItem
 from greengagepoint_node.gateway.gossip_messages import encode
 from greengagepoint_node.gateway.packing import ItemPacker, PackedItem
+from greengagepoint_node.gateway.store_types import StoredItem
 from greengagepoint_platform.names import KEY_CONFIGURATION
 from measure.figure import Figure
 from measure.large_configuration import configuration
--- a/packages/node/greengagepoint_node/gateway/configuration_loader.py
+++ b/packages/node/greengagepoint_node/gateway/configuration_loader.py
@@ -7,7 +7,7 @@
 
 from greengagepoint.errors import RecordError
 from greengagepoint.protocols import Clock
-from greengagepoint_node.gateway.facts import (
+from greengagepoint_node.gateway.store_types import (
     Configuration,
     ConfigurationParts,
     ReadParts,
--- a/packages/node/greengagepoint_node/gateway/daemon.py
+++ b/packages/node/greengagepoint_node/gateway/daemon.py
@@ -28,19 +28,12 @@
 from greengagepoint_node.gateway.connect_times import trace_connections
 from greengagepoint_node.gateway.counters import GatewayCounters, Gauges
 from greengagepoint_node.gateway.directory import HostDirectory
-from greengagepoint_node.gateway.facts import (
-    DecodeItem,
-    HostEntry,
-    PlatformStore,
-    ReadParts,
-)
 from greengagepoint_node.gateway.follower import HostRegistration, StoreFollower
 from greengagepoint_node.gateway.gossip import PATH, Gossip
 from greengagepoint_node.gateway.gossip_messages import HostState
 from greengagepoint_node.gateway.handler import Gateway
 from greengagepoint_node.gateway.listeners import Listener, create_socket
 from greengagepoint_node.gateway.metrics_handler import MetricsHandler
-from greengagepoint_node.gateway.news_guard import StaleViewGuard
 from greengagepoint_node.gateway.peer_notifier import NEWS_PATH
 from greengagepoint_node.gateway.peer_session import (
     create_peer_session,
@@ -55,7 +48,14 @@
 from greengagepoint_node.gateway.region_weights import RegionWeights
 from greengagepoint_node.gateway.request_quarantine import RequestQuarantine
 from greengagepoint_node.gateway.settings import REVOKE_SECONDS, GatewaySettings
+from greengagepoint_node.gateway.stale_view_guard import StaleViewGuard
 from greengagepoint_node.gateway.store_counts import CountedStore
+from greengagepoint_node.gateway.store_types import (
+    DecodeItem,
+    HostEntry,
+    PlatformStore,
+    ReadParts,
+)
 from greengagepoint_node.gateway.view import FleetView
 from greengagepoint_node.http.server import ServerLimits
 from greengagepoint_node.proxy.sessions import create_backend_sessions
--- a/packages/node/greengagepoint_node/gateway/entry_checks.py
+++ b/packages/node/greengagepoint_node/gateway/entry_checks.py
@@ -3,7 +3,11 @@
 from typing import Final
 
 from greengagepoint_node.gateway.addresses import is_address
-from greengagepoint_node.gateway.facts import HostEntry, ItemRefusedError, RefusedFor
+from greengagepoint_node.gateway.store_types import (
+    HostEntry,
+    ItemRefusedError,
+    RefusedFor,
+)
 
 NAME_LENGTH_MAX: Final = 255
 # No real server has more slots or stays cold for longer. A faulty entry beyond these
--- a/packages/node/greengagepoint_node/gateway/follower.py
+++ b/packages/node/greengagepoint_node/gateway/follower.py
@@ -17,7 +17,10 @@
 from greengagepoint.events import Event
 from greengagepoint.protocols import Clock, Random
 from greengagepoint_node.context import EventSink
-from greengagepoint_node.gateway.facts import (
+from greengagepoint_node.gateway.news_ages import ViewFreshnessTracker
+from greengagepoint_node.gateway.run_while_needed import async_run_while_needed
+from greengagepoint_node.gateway.settings import HEARTBEAT_SECONDS
+from greengagepoint_node.gateway.store_types import (
     Changes,
     HistoryLostError,
     HostEntry,
@@ -25,10 +28,7 @@
     Part,
     PlatformStore,
 )
-from greengagepoint_node.gateway.news_ages import ViewFreshnessTracker
-from greengagepoint_node.gateway.settings import HEARTBEAT_SECONDS
 from greengagepoint_node.gateway.view import FleetView
-from greengagepoint_node.gateway.while_wanted import async_run_while_needed
 
 # If the store drops its history, a pending watch may miss the latest changes, and only
 # the next watch fails with lost history. Hosts start their watches at different times,
--- a/packages/node/greengagepoint_node/gateway/gossip.py
+++ b/packages/node/greengagepoint_node/gateway/gossip.py
@@ -26,10 +26,6 @@
 from greengagepoint_node.context import EventSink
 from greengagepoint_node.gateway.delays import MessageDelays
 from greengagepoint_node.gateway.distances import RegionDistances
-from greengagepoint_node.gateway.facts import (
-    Changes,
-    Snapshot,
-)
 from greengagepoint_node.gateway.gossip_messages import (
     HostState,
     Message,
@@ -42,6 +38,10 @@
 from greengagepoint_node.gateway.message_writer import MessageWriter
 from greengagepoint_node.gateway.news_ages import ViewFreshnessTracker
 from greengagepoint_node.gateway.peer_notifier import PeerNotifier
+from greengagepoint_node.gateway.store_types import (
+    Changes,
+    Snapshot,
+)
 from greengagepoint_node.gateway.suspect_news import NoSuspects, SuspectNews
 from greengagepoint_node.gateway.transfer import async_read_answer, send_seconds
 from greengagepoint_node.gateway.view import LAPSED_SECONDS, FleetView
--- a/packages/node/greengagepoint_node/gateway/gossip_messages.py
+++ b/packages/node/greengagepoint_node/gateway/gossip_messages.py
@@ -9,8 +9,8 @@
 from greengagepoint.placing.busy_servers import BusyServer
 from greengagepoint.placing.region_loads import RegionLoad
 from greengagepoint.quarantine.messages import SharedSuspect
-from greengagepoint_node.gateway.facts import HostEntry, RemovedKey
 from greengagepoint_node.gateway.packing import PackedItem
+from greengagepoint_node.gateway.store_types import HostEntry, RemovedKey
 
 # No message begins with this byte, which MessagePack leaves unused.
 DEFLATED: Final = b"\xc1"
--- a/packages/node/greengagepoint_node/gateway/handler.py
+++ b/packages/node/greengagepoint_node/gateway/handler.py
@@ -28,7 +28,6 @@
 from greengagepoint_node.gateway.identity import RequestIdentity
 from greengagepoint_node.gateway.names import HeaderNames
 from greengagepoint_node.gateway.news_ages import ViewFreshness
-from greengagepoint_node.gateway.news_guard import StaleViewGuard
 from greengagepoint_node.gateway.outcomes import Outcomes
 from greengagepoint_node.gateway.overdue import OverdueWatch
 from greengagepoint_node.gateway.passing import (
@@ -46,6 +45,7 @@
 from greengagepoint_node.gateway.request_quarantine import RequestQuarantine
 from greengagepoint_node.gateway.send_times import SendTimes
 from greengagepoint_node.gateway.server_ends import ServerEnds
+from greengagepoint_node.gateway.stale_view_guard import StaleViewGuard
 from greengagepoint_node.gateway.tries import UNSENT, Tries
 from greengagepoint_node.gateway.view import FleetView
 from greengagepoint_node.proxy.sessions import BackendSessions
--- a/packages/node/greengagepoint_node/gateway/host_table.py
+++ b/packages/node/greengagepoint_node/gateway/host_table.py
@@ -6,8 +6,8 @@
 
 from greengagepoint.events import Event
 from greengagepoint_node.context import EventSink
-from greengagepoint_node.gateway.facts import HostEntry
 from greengagepoint_node.gateway.gossip_messages import Heartbeat, HostState, Message
+from greengagepoint_node.gateway.store_types import HostEntry
 
 # Several rounds of exchanges; look-ups drop a dead host after it, under the 6 s that
 # users allow.
--- a/packages/node/greengagepoint_node/gateway/known_servers.py
+++ b/packages/node/greengagepoint_node/gateway/known_servers.py
@@ -5,7 +5,7 @@
 from greengagepoint.events import Event
 from greengagepoint.placing.tables import Incarnation, Server, ServerTable
 from greengagepoint_node.context import EventSink
-from greengagepoint_node.gateway.facts import ServerEntry
+from greengagepoint_node.gateway.store_types import ServerEntry
 
 
 class KnownServers:
--- a/packages/node/greengagepoint_node/gateway/message_writer.py
+++ b/packages/node/greengagepoint_node/gateway/message_writer.py
@@ -6,12 +6,6 @@
 from greengagepoint.placing.busy_servers import BusyServers
 from greengagepoint.placing.region_loads import RegionLoads
 from greengagepoint.protocols import Clock
-from greengagepoint_node.gateway.facts import (
-    Changes,
-    RemovedKey,
-    Snapshot,
-    StoredItem,
-)
 from greengagepoint_node.gateway.gossip_messages import (
     HostState,
     Message,
@@ -24,6 +18,12 @@
 )
 from greengagepoint_node.gateway.news_ages import ViewFreshnessTracker
 from greengagepoint_node.gateway.packing import ItemPacker
+from greengagepoint_node.gateway.store_types import (
+    Changes,
+    RemovedKey,
+    Snapshot,
+    StoredItem,
+)
 from greengagepoint_node.gateway.view import FleetView
 
 
--- a/packages/node/greengagepoint_node/gateway/packing.py
+++ b/packages/node/greengagepoint_node/gateway/packing.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from greengagepoint_node.gateway.facts import StoredItem, is_large
+from greengagepoint_node.gateway.store_types import StoredItem, is_large
 
 # The fastest level packs a configuration nearly as small as the usual one.
 LEVEL: Final = 1
--- a/packages/node/greengagepoint_node/gateway/quarantine_entries.py
+++ b/packages/node/greengagepoint_node/gateway/quarantine_entries.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from greengagepoint_node.gateway.facts import QuarantineEntry
+from greengagepoint_node.gateway.store_types import QuarantineEntry
 
 
 class QuarantineEntries(Protocol):
--- a/packages/node/greengagepoint_node/gateway/quarantine_store.py
+++ b/packages/node/greengagepoint_node/gateway/quarantine_store.py
@@ -10,12 +10,12 @@
 from greengagepoint.quarantine.messages import SharedSuspect
 from greengagepoint.rendezvous import rank
 from greengagepoint_node.context import EventSink
-from greengagepoint_node.gateway.facts import (
+from greengagepoint_node.gateway.quarantine_sync import QuarantineSync
+from greengagepoint_node.gateway.store_types import (
     LeaseLostError,
     PlatformStore,
     QuarantineEntry,
 )
-from greengagepoint_node.gateway.quarantine_sync import QuarantineSync
 
 LOOK_SECONDS: Final = 0.25
 # So many hosts keep an entry; each later one steps in where those before it did not.
--- a/packages/node/greengagepoint_node/gateway/region_reports.py
+++ b/packages/node/greengagepoint_node/gateway/region_reports.py
@@ -22,9 +22,9 @@
 from greengagepoint.protocols import Clock
 from greengagepoint.rendezvous import rank
 from greengagepoint_node.context import EventSink
-from greengagepoint_node.gateway.facts import HostEntry
 from greengagepoint_node.gateway.gossip_messages import HostState
 from greengagepoint_node.gateway.host_table import HostTable
+from greengagepoint_node.gateway.store_types import HostEntry
 from greengagepoint_node.gateway.view import FleetView
 
 REPORTS_PATH: Final = "/v1/region-reports"
--- a/packages/node/greengagepoint_node/gateway/refused.py
+++ b/packages/node/greengagepoint_node/gateway/rejected_items.py
@@ -7,7 +7,7 @@
 from greengagepoint.events import Event
 from greengagepoint.overload.token_bucket import TokenBucket, take
 from greengagepoint_node.context import EventSink
-from greengagepoint_node.gateway.facts import ItemRefusedError, RefusedFor
+from greengagepoint_node.gateway.store_types import ItemRefusedError, RefusedFor
 
 # A faulty writer may write continuously, and its log lines would crowd out those that
 # explain failed requests. The counter includes every rejected item.
--- a/packages/node/greengagepoint_node/gateway/store_counts.py
+++ b/packages/node/greengagepoint_node/gateway/store_counts.py
@@ -5,7 +5,7 @@
 from collections.abc import Awaitable, Sequence
 from typing import TypeVar
 
-from greengagepoint_node.gateway.facts import (
+from greengagepoint_node.gateway.store_types import (
     Changes,
     HistoryLostError,
     LeaseLostError,
--- a/packages/node/greengagepoint_node/gateway/view.py
+++ b/packages/node/greengagepoint_node/gateway/view.py
@@ -10,7 +10,13 @@
 from greengagepoint.placing.tables import Incarnation
 from greengagepoint.routing.tables import RouteTable
 from greengagepoint_node.context import EventSink
-from greengagepoint_node.gateway.facts import (
+from greengagepoint_node.gateway.known_servers import KnownServers
+from greengagepoint_node.gateway.quarantine_entries import (
+    NoQuarantine,
+    QuarantineEntries,
+)
+from greengagepoint_node.gateway.rejected_items import RejectedItems
+from greengagepoint_node.gateway.store_types import (
     Changes,
     Configuration,
     DecodeItem,
@@ -27,12 +33,6 @@
     StoreEntry,
     is_large,
 )
-from greengagepoint_node.gateway.known_servers import KnownServers
-from greengagepoint_node.gateway.quarantine_entries import (
-    NoQuarantine,
-    QuarantineEntries,
-)
-from greengagepoint_node.gateway.refused import RejectedItems
 from greengagepoint_node.gateway.writes import KeyWrites, Write
 
 # A peer that lags behind more removals than this gets a full snapshot.
--- a/packages/node/greengagepoint_node/gateway/writes.py
+++ b/packages/node/greengagepoint_node/gateway/writes.py
@@ -4,7 +4,7 @@
 from typing import Final, NamedTuple
 
 from greengagepoint.errors import RecordError
-from greengagepoint_node.gateway.facts import ServerEntry, StoredItem, StoreEntry
+from greengagepoint_node.gateway.store_types import ServerEntry, StoredItem, StoreEntry
 
 # A key has more than one effective write only if a server wrote after another one that
 # started later. An incarnation that has ended writes once at most, so few are expected;
--- a/packages/node/tests/gateway_runs.py
+++ b/packages/node/tests/gateway_runs.py
@@ -9,7 +9,7 @@
     ServicePolicy,
     create_route_table,
 )
-from greengagepoint_node.gateway.facts import (
+from greengagepoint_node.gateway.store_types import (
     Changes,
     Configuration,
     ServerEntry,
--- a/packages/node/tests/gateway_world.py
+++ b/packages/node/tests/gateway_world.py
@@ -22,7 +22,12 @@
 )
 from greengagepoint_node.clock import SystemClock
 from greengagepoint_node.gateway.daemon import GatewayDaemon
-from greengagepoint_node.gateway.facts import (
+from greengagepoint_node.gateway.settings import (
+    DRAIN_SECONDS,
+    REVOKE_SECONDS,
+    GatewaySettings,
+)
+from greengagepoint_node.gateway.store_types import (
     Changes,
     Configuration,
     Part,
@@ -30,11 +35,6 @@
     Snapshot,
     StoredItem,
 )
-from greengagepoint_node.gateway.settings import (
-    DRAIN_SECONDS,
-    REVOKE_SECONDS,
-    GatewaySettings,
-)
 from greengagepoint_platform.names import HEADERS
 from greengagepoint_standins.users_platform.backend import PlatformBackend
 
--- a/packages/node/tests/test_gateway_accounts.py
+++ b/packages/node/tests/test_gateway_accounts.py
@@ -11,7 +11,7 @@
 from greengagepoint.errors import ErrorKind
 from greengagepoint.events import Event
 from greengagepoint.routing.tables import RouteTableBuilder
-from greengagepoint_node.gateway.facts import Configuration
+from greengagepoint_node.gateway.store_types import Configuration
 
 KEY, OTHER_KEY = "k3yofone4567890abcde", "0therk3yofone4567890"
 ACCOUNTS = (
--- a/packages/node/tests/test_gateway_configuration_loader.py
+++ b/packages/node/tests/test_gateway_configuration_loader.py
@@ -22,7 +22,7 @@
     WAITING_VERSIONS_MAX,
     ConfigurationLoader,
 )
-from greengagepoint_node.gateway.facts import (
+from greengagepoint_node.gateway.store_types import (
     Changes,
     Configuration,
     RemovedKey,
--- a/packages/node/tests/test_gateway_directory.py
+++ b/packages/node/tests/test_gateway_directory.py
@@ -7,9 +7,9 @@
 
 from greengagepoint_node.clock import SystemClock
 from greengagepoint_node.gateway.directory import ADDRESSES_MAX, HostDirectory
-from greengagepoint_node.gateway.facts import HostEntry
 from greengagepoint_node.gateway.gossip_messages import HostState
 from greengagepoint_node.gateway.host_table import HostTable
+from greengagepoint_node.gateway.store_types import HostEntry
 from greengagepoint_node.gateway.view import FleetView
 
 CALLERS = 300
--- a/packages/node/tests/test_gateway_follower.py
+++ b/packages/node/tests/test_gateway_follower.py
@@ -14,7 +14,10 @@
 from greengagepoint.events import Event
 from greengagepoint_node.clock import SystemClock
 from greengagepoint_node.gateway import follower as module
-from greengagepoint_node.gateway.facts import (
+from greengagepoint_node.gateway.follower import HostRegistration, StoreFollower
+from greengagepoint_node.gateway.news_ages import ViewFreshnessTracker
+from greengagepoint_node.gateway.store_counts import CountedStore
+from greengagepoint_node.gateway.store_types import (
     Changes,
     Evacuation,
     HistoryLostError,
@@ -25,9 +28,6 @@
     Snapshot,
     StoredItem,
 )
-from greengagepoint_node.gateway.follower import HostRegistration, StoreFollower
-from greengagepoint_node.gateway.news_ages import ViewFreshnessTracker
-from greengagepoint_node.gateway.store_counts import CountedStore
 from greengagepoint_node.gateway.view import FleetView
 
 
--- a/packages/node/tests/test_gateway_gossip.py
+++ b/packages/node/tests/test_gateway_gossip.py
@@ -10,15 +10,6 @@
 from greengagepoint.config.watchers import STALE_SECONDS
 from greengagepoint.events import Event
 from greengagepoint_node.clock import SystemClock
-from greengagepoint_node.gateway.facts import (
-    Changes,
-    Evacuation,
-    HostEntry,
-    RemovedKey,
-    ServerEntry,
-    Snapshot,
-    StoredItem,
-)
 from greengagepoint_node.gateway.gossip import Gossip
 from greengagepoint_node.gateway.gossip_messages import HostState, encode
 from greengagepoint_node.gateway.host_table import (
@@ -27,6 +18,15 @@
     HeardHost,
 )
 from greengagepoint_node.gateway.peer_session import create_peer_session
+from greengagepoint_node.gateway.store_types import (
+    Changes,
+    Evacuation,
+    HostEntry,
+    RemovedKey,
+    ServerEntry,
+    Snapshot,
+    StoredItem,
+)
 from greengagepoint_node.gateway.view import LAPSED_SECONDS, FleetView
 
 NOW = 10.0
--- a/packages/node/tests/test_gateway_incarnations.py
+++ b/packages/node/tests/test_gateway_incarnations.py
@@ -30,15 +30,15 @@
 from greengagepoint_node.clock import SystemClock
 from greengagepoint_node.gateway.call import Call
 from greengagepoint_node.gateway.exchange import Exchange, Verdict
-from greengagepoint_node.gateway.facts import (
-    HostEntry,
-    RemovedKey,
-    StoredItem,
-)
 from greengagepoint_node.gateway.gossip import Gossip
 from greengagepoint_node.gateway.gossip_messages import HostState
 from greengagepoint_node.gateway.placing import Placer
 from greengagepoint_node.gateway.region_weights import RegionWeights
+from greengagepoint_node.gateway.store_types import (
+    HostEntry,
+    RemovedKey,
+    StoredItem,
+)
 from greengagepoint_node.gateway.writes import WRITES_MAX
 
 ROUTE = Route(name="r", prefix="/", destinations=(Destination("booking"),))
--- a/packages/node/tests/test_gateway_large_values.py
+++ b/packages/node/tests/test_gateway_large_values.py
@@ -10,13 +10,13 @@
 
 from greengagepoint.overload.full_link import SAMPLES_MIN
 from greengagepoint_node.clock import SystemClock
-from greengagepoint_node.gateway.facts import Changes, HostEntry, StoredItem
 from greengagepoint_node.gateway.gossip import PATH, RECEIVED, SENT, Gossip
 from greengagepoint_node.gateway.gossip_messages import HostState
 from greengagepoint_node.gateway.host_table import HeardHost
 from greengagepoint_node.gateway.listeners import Listener
 from greengagepoint_node.gateway.peer_notifier import NEWS_PATH
 from greengagepoint_node.gateway.peer_session import create_peer_session
+from greengagepoint_node.gateway.store_types import Changes, HostEntry, StoredItem
 from greengagepoint_node.gateway.view import FleetView
 from greengagepoint_node.http.server import ServerLimits
 from greengagepoint_platform.decoding import decode_item
--- a/packages/node/tests/test_gateway_leaving_servers.py
+++ b/packages/node/tests/test_gateway_leaving_servers.py
@@ -8,13 +8,13 @@
 
 from greengagepoint.errors import ErrorKind
 from greengagepoint.events import Event
-from greengagepoint_node.gateway.facts import (
+from greengagepoint_node.gateway.gossip_messages import decode, encode
+from greengagepoint_node.gateway.store_types import (
     Changes,
     Evacuation,
     RemovedKey,
     StoredItem,
 )
-from greengagepoint_node.gateway.gossip_messages import decode, encode
 
 ZONE = "zone-a"
 
--- a/packages/node/tests/test_gateway_messages.py
+++ b/packages/node/tests/test_gateway_messages.py
@@ -5,7 +5,6 @@
 import msgspec
 import pytest
 
-from greengagepoint_node.gateway.facts import HostEntry
 from greengagepoint_node.gateway.gossip_messages import (
     DEFLATED,
     DEFLATED_MAX,
@@ -16,6 +15,7 @@
     decode,
     encode,
 )
+from greengagepoint_node.gateway.store_types import HostEntry
 
 
 def message(hosts):
--- a/packages/node/tests/test_gateway_news_orders.py
+++ b/packages/node/tests/test_gateway_news_orders.py
@@ -20,7 +20,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from greengagepoint_node.gateway.facts import (
+from greengagepoint_node.gateway.store_types import (
     Changes,
     RemovedKey,
     Snapshot,
--- a/packages/node/tests/test_gateway_packing.py
+++ b/packages/node/tests/test_gateway_packing.py
@@ -9,8 +9,8 @@
 from large_values import configuration
 
 from greengagepoint_node.gateway import packing
-from greengagepoint_node.gateway.facts import StoredItem
 from greengagepoint_node.gateway.packing import ItemPacker, PackedItem
+from greengagepoint_node.gateway.store_types import StoredItem
 
 
 @given(st.binary(max_size=5_000), st.integers(1, 2**40))
--- a/packages/node/tests/test_gateway_peer_notifier.py
+++ b/packages/node/tests/test_gateway_peer_notifier.py
@@ -9,11 +9,11 @@
 from test_gateway_large_values import async_peers
 
 from greengagepoint_node.gateway.delays import FLOOR_RISE_PER_SECOND, MessageDelays
-from greengagepoint_node.gateway.facts import Changes, StoredItem
 from greengagepoint_node.gateway.gossip import NEWS_SECONDS
 from greengagepoint_node.gateway.gossip_messages import HostState, decode
 from greengagepoint_node.gateway.host_table import HeardHost
 from greengagepoint_node.gateway.peer_notifier import LARGE_SENDS_MAX, NOTIFY_SECONDS
+from greengagepoint_node.gateway.store_types import Changes, StoredItem
 from greengagepoint_standins.relay import Relay, SlowLink
 
 LARGE = random.Random(2).randbytes(60_000)
--- a/packages/node/tests/test_gateway_quarantine.py
+++ b/packages/node/tests/test_gateway_quarantine.py
@@ -8,7 +8,7 @@
 
 from greengagepoint.events import Event
 from greengagepoint.quarantine.rules import REFUSED_SECONDS
-from greengagepoint_node.gateway.facts import Changes, RemovedKey
+from greengagepoint_node.gateway.store_types import Changes, RemovedKey
 from greengagepoint_standins.users_platform.backend import Manner
 
 FATAL = "/safe/fatal"
--- a/packages/node/tests/test_gateway_quarantine_news.py
+++ b/packages/node/tests/test_gateway_quarantine_news.py
@@ -13,12 +13,6 @@
 from greengagepoint.quarantine.quarantine import Quarantine
 from greengagepoint.quarantine.rules import REFUSED_SECONDS
 from greengagepoint.quarantine.tables import Verdict
-from greengagepoint_node.gateway.facts import (
-    Changes,
-    QuarantineEntry,
-    RemovedKey,
-    StoredItem,
-)
 from greengagepoint_node.gateway.gossip import PERIOD_SECONDS
 from greengagepoint_node.gateway.quarantine_store import (
     ENTRIES_MAX,
@@ -36,6 +30,12 @@
     encode,
 )
 from greengagepoint_node.gateway.request_quarantine import RequestQuarantine
+from greengagepoint_node.gateway.store_types import (
+    Changes,
+    QuarantineEntry,
+    RemovedKey,
+    StoredItem,
+)
 from greengagepoint_node.gateway.view import FleetView
 
 # Users allow three more sends from then on.
--- a/packages/node/tests/test_gateway_relayed_news.py
+++ b/packages/node/tests/test_gateway_relayed_news.py
@@ -5,10 +5,10 @@
 from test_gateway_gossip import NOW, Request, host
 
 from greengagepoint.config.watchers import TOLD_DIRECTLY_MAX
-from greengagepoint_node.gateway.facts import Changes, StoredItem
 from greengagepoint_node.gateway.gossip_messages import HostState
 from greengagepoint_node.gateway.host_table import HeardHost
 from greengagepoint_node.gateway.peer_notifier import NEWS_PATH
+from greengagepoint_node.gateway.store_types import Changes, StoredItem
 
 HOSTS = 2 * TOLD_DIRECTLY_MAX
 
--- a/packages/node/tests/test_gateway_restarts.py
+++ b/packages/node/tests/test_gateway_restarts.py
@@ -11,7 +11,7 @@
 from deployment import async_until
 from gateway_world import async_world
 
-from greengagepoint_node.gateway.facts import Changes, ServerEntry, StoredItem
+from greengagepoint_node.gateway.store_types import Changes, ServerEntry, StoredItem
 from greengagepoint_standins.users_platform.backend import Manner
 
 
--- a/packages/node/tests/test_gateway_view.py
+++ b/packages/node/tests/test_gateway_view.py
@@ -18,7 +18,7 @@
     create_route_table,
 )
 from greengagepoint_node.gateway import view as module
-from greengagepoint_node.gateway.facts import (
+from greengagepoint_node.gateway.store_types import (
     Changes,
     Configuration,
     Evacuation,
--- a/packages/node/tests/told_entries.py
+++ b/packages/node/tests/told_entries.py
@@ -4,7 +4,7 @@
 from gateway_world import ZONES, Lines
 
 from greengagepoint.events import Event
-from greengagepoint_node.gateway.facts import Changes, RemovedKey, StoredItem
+from greengagepoint_node.gateway.store_types import Changes, RemovedKey, StoredItem
 from greengagepoint_node.gateway.view import FleetView
 from greengagepoint_platform.decoding import decode_item
 
--- a/packages/platform_tests/tests/test_platform_decoding.py
+++ b/packages/platform_tests/tests/test_platform_decoding.py
@@ -3,7 +3,7 @@
 
 from greengagepoint.errors import RecordError, SettingError
 from greengagepoint.routing.tables import RequestKind, find_route
-from greengagepoint_node.gateway.facts import Evacuation, HostEntry, StoredItem
+from greengagepoint_node.gateway.store_types import Evacuation, HostEntry, StoredItem
 from greengagepoint_platform.configuration import read_in_parts
 from greengagepoint_platform.decoding import decode_item, key_of
 from greengagepoint_platform.settings import daemon_settings, read_settings_file
--- a/packages/platform_tests/tests/test_platform_refused_items.py
+++ b/packages/platform_tests/tests/test_platform_refused_items.py
@@ -15,7 +15,7 @@
 )
 
 from greengagepoint.events import Event
-from greengagepoint_node.gateway.refused import LINES_BURST, TEXT_MAX
+from greengagepoint_node.gateway.rejected_items import LINES_BURST, TEXT_MAX
 
 
 @pytest.mark.parametrize(
--- a/packages/platform_tests/tests/test_platform_store.py
+++ b/packages/platform_tests/tests/test_platform_store.py
@@ -8,7 +8,7 @@
 from large_values import SLOW_BYTES_PER_SECOND, configuration
 
 from greengagepoint.errors import StoreError, StoreOutcomeUnknownError
-from greengagepoint_node.gateway.facts import (
+from greengagepoint_node.gateway.store_types import (
     HistoryLostError,
     HostEntry,
     LeaseLostError,
