--- a/packages/node/greengagepoint_node/gateway/message_writer.py
+++ b/packages/node/greengagepoint_node/gateway/message_writer.py
@@ -6,12 +6,6 @@
 from greengagepoint.placing.busy_servers import BusyServers
 from greengagepoint.placing.region_loads import RegionLoads
 from greengagepoint.protocols import Clock
-from greengagepoint_node.gateway.facts import (
-    Changes,
-    RemovedKey,
-    Snapshot,
-    StoredItem,
-)
 from greengagepoint_node.gateway.gossip_messages import (
     HostState,
     Message,
@@ -22,8 +16,14 @@
     HeardHost,
     HostTable,
 )
-from greengagepoint_node.gateway.news_ages import NewsAges
+from greengagepoint_node.gateway.news_ages import ViewFreshnessTracker
 from greengagepoint_node.gateway.packing import ItemPacker
+from greengagepoint_node.gateway.store_types import (
+    Changes,
+    RemovedKey,
+    Snapshot,
+    StoredItem,
+)
 from greengagepoint_node.gateway.view import FleetView
 
 
@@ -35,7 +35,7 @@
         own: HostState,
         view: FleetView,
         table: HostTable,
-        ages: NewsAges,
+        ages: ViewFreshnessTracker,
         clock: Clock,
         link_is_full: Callable[[], bool],
     ) -> None:
--- a/packages/node/greengagepoint_node/gateway/quarantine_store.py
+++ b/packages/node/greengagepoint_node/gateway/quarantine_store.py
@@ -10,12 +10,12 @@
 from greengagepoint.quarantine.messages import SharedSuspect
 from greengagepoint.rendezvous import rank
 from greengagepoint_node.context import EventSink
-from greengagepoint_node.gateway.facts import (
+from greengagepoint_node.gateway.quarantine_sync import QuarantineSync
+from greengagepoint_node.gateway.store_types import (
     LeaseLostError,
     PlatformStore,
     QuarantineEntry,
 )
-from greengagepoint_node.gateway.quarantine_sync import QuarantineSync
 
 POLL_SECONDS: Final = 0.25
 # Hosts that may write an entry, in rank order; each takes over if those before it did
--- a/packages/node/tests/test_gateway_incarnations.py
+++ b/packages/node/tests/test_gateway_incarnations.py
@@ -30,15 +30,15 @@
 from greengagepoint_node.clock import SystemClock
 from greengagepoint_node.gateway.call import Call
 from greengagepoint_node.gateway.exchange import Exchange, Verdict
-from greengagepoint_node.gateway.facts import (
-    HostEntry,
-    RemovedKey,
-    StoredItem,
-)
 from greengagepoint_node.gateway.gossip import Gossip
 from greengagepoint_node.gateway.gossip_messages import HostState
 from greengagepoint_node.gateway.placing import Placer
 from greengagepoint_node.gateway.region_weights import RegionWeights
+from greengagepoint_node.gateway.store_types import (
+    HostEntry,
+    RemovedKey,
+    StoredItem,
+)
 from greengagepoint_node.gateway.writes import WRITES_MAX
 
 ROUTE = Route(name="r", prefix="/", destinations=(Destination("booking"),))
@@ -148,9 +148,9 @@
     # address.
     fleet = started()
     tell(fleet, write(3, 200, THERE))
-    fleet.note_replaced(run(100))
+    fleet.record_replacement(run(100))
     assert members(fleet) == {run(200, THERE)}
-    fleet.note_replaced(run(200, THERE))
+    fleet.record_replacement(run(200, THERE))
     assert members(fleet) == set()
     tell(fleet, write(4, 300))
     assert members(fleet) == {run(300)}
--- a/packages/node/tests/test_gateway_leaving_servers.py
+++ b/packages/node/tests/test_gateway_leaving_servers.py
@@ -8,13 +8,13 @@
 
 from greengagepoint.errors import ErrorKind
 from greengagepoint.events import Event
-from greengagepoint_node.gateway.facts import (
+from greengagepoint_node.gateway.gossip_messages import decode, encode
+from greengagepoint_node.gateway.store_types import (
     Changes,
     Evacuation,
     RemovedKey,
     StoredItem,
 )
-from greengagepoint_node.gateway.gossip_messages import decode, encode
 
 ZONE = "zone-a"
 
@@ -47,7 +47,7 @@
 
 def replace_at_address(world, instance):
     row = world.daemon.view.servers.servers[instance]
-    world.daemon.view.note_replaced(row.incarnation)
+    world.daemon.view.record_replacement(row.incarnation)
 
 
 async def async_choose(world, path, method):
--- a/packages/node/tests/told_entries.py
+++ b/packages/node/tests/told_entries.py
@@ -1,10 +1,10 @@
-"""A host's view that is told entries in the platform's manner."""
+"""A host's view that gets entries in the platform's format."""
 
 import msgspec
 from gateway_world import ZONES, Lines
 
 from greengagepoint.events import Event
-from greengagepoint_node.gateway.facts import Changes, RemovedKey, StoredItem
+from greengagepoint_node.gateway.store_types import Changes, RemovedKey, StoredItem
 from greengagepoint_node.gateway.view import FleetView
 from greengagepoint_platform.decoding import decode_item
 
@@ -42,14 +42,14 @@
     return document if isinstance(document, bytes) else msgspec.json.encode(document)
 
 
-def changed(document, **fields):
-    """Return a document with other fields; those that are None are left out."""
+def with_fields(document, **fields):
+    """Return a document with some fields replaced, without those set to None."""
     rest = {**document, **fields}
     return {name: value for name, value in rest.items() if value is not None}
 
 
-class Told:
-    """A host's view that is told one change after the other."""
+class ViewFixture:
+    """A host's view that gets one change after the other, writes twice."""
 
     def __init__(self) -> None:
         self.view = FleetView(dict(ZONES), decode_item, Lines())
@@ -74,15 +74,15 @@
         lines = self.view.events.of(Event.RECORD_REFUSED)
         return [(line["key"], str(line["reason"])) for line in lines]
 
-    def counted(self):
-        return {reason: count for (reason,), count in self.view.refused.counts.items()}
+    def rejection_counts(self):
+        return {reason: count for (reason,), count in self.view.rejected.counts.items()}
 
 
-def told():
-    fleet = Told()
+def create_view_fixture():
+    fleet = ViewFixture()
     fleet.put("op/config", configuration(1, "booking"))
     fleet.put("servers/i-1", ENTRY)
-    fleet.put("servers/i-2", changed(ENTRY, address="10.0.0.2:8080"))
+    fleet.put("servers/i-2", with_fields(ENTRY, address="10.0.0.2:8080"))
     assert fleet.members() == ["i-1", "i-2"]
     assert fleet.refused() == []
     return fleet
--- a/packages/platform_tests/tests/test_platform_entries.py
+++ b/packages/platform_tests/tests/test_platform_entries.py
@@ -8,7 +8,7 @@
 
 import msgspec
 import pytest
-from told_entries import BORN, ENTRY, changed, told
+from told_entries import BORN, ENTRY, create_view_fixture, with_fields
 
 from greengagepoint.placing.tables import Incarnation
 
@@ -29,7 +29,7 @@
 def entries_without_a_field():
     """Yield entries that lack one field."""
     for name in ENTRY.keys() - {"version", "born"}:
-        yield pytest.param(changed(ENTRY, **{name: None}), "field", id=f"no {name}")
+        yield pytest.param(with_fields(ENTRY, **{name: None}), "field", id=f"no {name}")
 
 
 ADDRESSES = (
@@ -78,7 +78,9 @@
     *entries_with_a_wrong_type(),
     *entries_without_a_field(),
     *(
-        pytest.param(changed(ENTRY, **{name: value}), reason, id=f"{name}={value!r}")
+        pytest.param(
+            with_fields(ENTRY, **{name: value}), reason, id=f"{name}={value!r}"
+        )
         for name, value, reason in (
             ("state", "new", "state"),
             ("state", "", "state"),
@@ -105,28 +107,30 @@
         )
     ),
     *(
-        pytest.param(changed(ENTRY, address=text), "address", id=f"address={text!r}")
+        pytest.param(
+            with_fields(ENTRY, address=text), "address", id=f"address={text!r}"
+        )
         for text in ADDRESSES
     ),
     *(pytest.param(raw, None, id=f"bytes {raw[:20]!r}") for raw in BYTES),
 ]
 VALID_ENTRIES = [
     ENTRY,
-    changed(ENTRY, born=None),
-    changed(ENTRY, version=None),
-    changed(ENTRY, version=7),
-    changed(ENTRY, born=0),
-    changed(ENTRY, coldLeftS=0),
-    changed(ENTRY, zone="zone-b"),
-    changed(ENTRY, slots=1),
-    changed(ENTRY, address="10.0.0.1:65535"),
-    changed(ENTRY, later={"field": [1]}),
+    with_fields(ENTRY, born=None),
+    with_fields(ENTRY, version=None),
+    with_fields(ENTRY, version=7),
+    with_fields(ENTRY, born=0),
+    with_fields(ENTRY, coldLeftS=0),
+    with_fields(ENTRY, zone="zone-b"),
+    with_fields(ENTRY, slots=1),
+    with_fields(ENTRY, address="10.0.0.1:65535"),
+    with_fields(ENTRY, later={"field": [1]}),
 ]
 
 
 @pytest.mark.parametrize("document", VALID_ENTRIES)
 def test_a_valid_entry_adds_a_server(document):
-    fleet = told()
+    fleet = create_view_fixture()
     fleet.put("servers/i-3", document)
     assert fleet.members() == ["i-1", "i-2", "i-3"]
     assert fleet.refused() == []
@@ -137,7 +141,7 @@
     # An invalid entry replaces a valid one, and another one is put at a new key. The
     # other server stays usable. Each invalid entry is logged and counted once, however
     # often the update arrives. A valid entry is accepted again afterwards.
-    fleet = told()
+    fleet = create_view_fixture()
     fleet.put("servers/i-1", document)
     assert fleet.members() == ["i-2"]
     fleet.put("servers/i-3", document)
@@ -145,9 +149,9 @@
     assert [key for key, _ in fleet.refused()] == ["servers/i-1", "servers/i-3"]
     if reason is not None:
         assert fleet.refused()[0][1] == reason
-        assert fleet.counted() == {reason: 2}
-    assert sum(fleet.counted().values()) == 2
-    fleet.put("servers/i-1", changed(ENTRY, born=BORN + 1))
+        assert fleet.rejection_counts() == {reason: 2}
+    assert sum(fleet.rejection_counts().values()) == 2
+    fleet.put("servers/i-1", with_fields(ENTRY, born=BORN + 1))
     assert fleet.members() == ["i-1", "i-2"]
     assert fleet.view.servers.servers["i-1"].incarnation == Incarnation(
         "i-1", BORN + 1, "10.0.0.1:8080"
@@ -158,7 +162,7 @@
 
 
 def test_a_draining_server_is_valid_and_gets_no_requests():
-    fleet = told()
-    fleet.put("servers/i-1", changed(ENTRY, state="draining"))
+    fleet = create_view_fixture()
+    fleet.put("servers/i-1", with_fields(ENTRY, state="draining"))
     assert fleet.members() == ["i-2"]
     assert fleet.refused() == []
