--- a/packages/node/greengagepoint_node/gateway/directory.py
+++ b/packages/node/greengagepoint_node/gateway/directory.py
@@ -1,4 +1,4 @@
-"""Tell callers which entry hosts to use."""
+"""Select the entry hosts that callers should use."""
 
 from collections.abc import Callable
 from typing import Final, Protocol
@@ -8,25 +8,25 @@
 from greengagepoint_node.gateway.host_table import HostTable
 from greengagepoint_node.gateway.view import FleetView
 
-# What callers take of one answer.
+# Callers use at most this many addresses of one answer.
 ADDRESSES_MAX: Final = 64
-# Callers leave a host that stops within three times this at worst.
+# Callers stop using a stopped host within three times this at worst.
 TTL_SECONDS: Final = 1.0
 
 
-class KnownHosts(Protocol):
-    """Know which hosts are alive."""
+class HostTableOwner(Protocol):
+    """Hold the table of live hosts."""
 
     table: HostTable
 
 
 class HostDirectory:
-    """Name the hosts of a caller's region, or others when it has none."""
+    """List the hosts of a caller's region, or all hosts if the region has none."""
 
     def __init__(
         self,
         view: FleetView,
-        hosts: KnownHosts,
+        hosts: HostTableOwner,
         clock: Clock,
         serves_keys: Callable[[], bool] = lambda: True,
     ) -> None:
@@ -38,20 +38,20 @@
     def addresses(self, region: str, caller: str = "") -> list[str]:
         """Return host:port of the hosts that a caller of a region should use.
 
-        Where there are more than one answer may name, ``caller``, its address, decides
-        which. All callers were told the same ones otherwise, and of 100 hosts of a
-        region 36 would get no request. Ranked by the caller's address, a host's share
-        of the callers is even, and a caller keeps the hosts that it has connections to
-        when another host comes or goes.
+        If there are more hosts than one answer may list, ``caller``, the caller's
+        address, selects them. Otherwise all callers would get the same hosts, and of a
+        region's 100 hosts 36 would get no requests. Rendezvous ranking by the caller's
+        address spreads callers evenly, and a caller keeps the hosts that it is
+        connected to when other hosts come or go.
         """
         now = self.clock.monotonic()
         alive = [state.entry for state in self.hosts.table.alive(now)]
         if not self.serves_keys():
-            # Callers that need a key would be refused here.
+            # This host would reject callers that need a key.
             own = self.hosts.table.own.entry.name
             alive = [entry for entry in alive if entry.name != own]
-        near = [entry for entry in alive if entry.region == region]
-        named = near or alive
+        local = [entry for entry in alive if entry.region == region]
+        named = local or alive
         if len(named) > ADDRESSES_MAX:
             named = rank(caller, named, lambda entry: entry.name)[:ADDRESSES_MAX]
         return sorted(entry.front_address for entry in named)
--- a/packages/node/greengagepoint_node/gateway/distances.py
+++ b/packages/node/greengagepoint_node/gateway/distances.py
@@ -1,33 +1,33 @@
-"""Know how far other regions are, from exchanges with their hosts."""
+"""Estimate round-trip times to other regions from exchanges with their hosts."""
 
 import math
 from typing import Final
 
-# One to open the connection, one for the exchange. The shortest exchange counts: the
-# others hold the time in which a peer or this host was busy.
+# One to open the connection, one for the exchange. The shortest exchange counts, as the
+# others include time in which the peer or this host was busy.
 ROUND_TRIPS_OF_EXCHANGE: Final = 2
 
 
 class RegionDistances:
-    """The round trip to each region, in seconds; ``home`` is this host's region."""
+    """Hold the round-trip time to each region; ``home`` is this host's region."""
 
     def __init__(self, home: str) -> None:
         self.home = home
         self.round_trips: dict[str, float] = {}
 
-    def note(self, region: str | None, seconds: float) -> None:
-        """Learn from an exchange with a host of a region, None if that is not known."""
+    def record_exchange(self, region: str | None, seconds: float) -> None:
+        """Record an exchange with a host of a region; None is ignored."""
         if region is None:
             return
-        known = self.round_trips.get(region, math.inf)
-        self.round_trips[region] = min(known, seconds / ROUND_TRIPS_OF_EXCHANGE)
+        shortest = self.round_trips.get(region, math.inf)
+        self.round_trips[region] = min(shortest, seconds / ROUND_TRIPS_OF_EXCHANGE)
 
     def farthest(self) -> float:
-        """Return the round trip to the farthest region, 0 while none is known."""
+        """Return the longest round trip to a region in seconds, 0 if none is known."""
         return max(self.round_trips.values(), default=0.0)
 
     def to(self, region: str) -> float:
-        """Return the round trip to a region, 0 to the own one or while not known."""
+        """Return the round trip in seconds, 0 for the own or an unknown region."""
         if region == self.home:
             return 0.0
         return self.round_trips.get(region, 0.0)
--- a/packages/node/greengagepoint_node/gateway/gossip.py
+++ b/packages/node/greengagepoint_node/gateway/gossip.py
@@ -1,12 +1,12 @@
-"""Exchange what hosts believe: who lives, and the store's news.
+"""Exchange the table of live hosts and the store's items with peers.
 
 The host that watches the store for its region sends each change to the region's other
-hosts at once, and each second tells them that they miss nothing.
+hosts at once, and once a second confirms to them that their views are complete.
 
-Once every half second a host sends its table to another one and gets that one's table
-and whatever of the store's items it lacks. So a host that the store turns away still
-learns of changes, and so does one whose watch hangs on a silent connection; a host that
-starts while the store is down gets its first configuration the same way.
+Every half second a host sends its table to a peer and receives the peer's table and the
+store's items that it lacks. A host whose store requests are rejected, or whose watch
+hangs on a silent connection, still learns of changes this way. A host that starts while
+the store is down gets its first configuration the same way.
 """
 
 import asyncio
@@ -42,31 +42,35 @@
 from greengagepoint_node.gateway.message_writer import MessageWriter
 from greengagepoint_node.gateway.news_ages import NewsAges
 from greengagepoint_node.gateway.peer_notifier import PeerNotifier
-from greengagepoint_node.gateway.suspect_news import NoSuspects, SuspectNews
+from greengagepoint_node.gateway.suspect_exchange import (
+    NoSuspectExchange,
+    SuspectExchange,
+)
 from greengagepoint_node.gateway.transfer import async_read_answer, send_seconds
 from greengagepoint_node.gateway.view import LAPSED_SECONDS, FleetView
 
 PERIOD_SECONDS: Final = 0.5
-# Two regions are 40 ms apart there and back; a peer that takes longer to begin, or
-# pauses for as long, is busy or gone.
+# The round trip between two regions is 40 ms. A peer that takes this long to start its
+# answer, or pauses for as long, is overloaded or down.
 EXCHANGE_SECONDS: Final = 0.6
-# On a full link every peer takes longer: two ways to connect, two for the messages, and
-# half a second of queue on each. Given up before, each exchange is begun anew with
-# another peer, in vain.
+# On a saturated link every peer takes longer: two one-way trips to connect, two for the
+# messages, and half a second of queueing on each. With a shorter timeout every exchange
+# would be abandoned and started again with another peer, without success.
 FULL_LINK_EXCHANGE_SECONDS: Final = 2.5
-# A peer that sends its news byte by byte keeps no others from bringing it for longer;
-# 100 KB over a link of 5 Mbit/s take 0.2 s.
-NEWS_SECONDS: Final = 2.0
-# Of ten exchanges, so many are with hosts of the own region, where they cost less; news
-# still enters each other region several times a second.
-NEAR_SHARE: Final = 0.8
+# Only one exchange at a time asks for items. A peer that sends them byte by byte blocks
+# other peers from sending them for at most this long; 100 KB over a link of 5 Mbit/s
+# take 0.2 s.
+UPDATE_WAIT_SECONDS: Final = 2.0
+# The share of exchanges with hosts of the own region, where they cost less. Updates
+# still reach each other region several times a second.
+LOCAL_EXCHANGE_SHARE: Final = 0.8
 PATH: Final = "/v1/gossip"
 SENT: Final = "sent"
 RECEIVED: Final = "received"
 
 
 class Gossip:
-    """Keep the table of hosts by exchanging it with one peer after the other."""
+    """Keep the table of hosts up to date by exchanging it with one peer at a time."""
 
     def __init__(
         self,
@@ -88,7 +92,7 @@
         self.bytes: Counter[tuple[str, str]] = Counter()
         self.table = HostTable(own, events)
         self.distances = RegionDistances(own.entry.region)
-        self.suspects: SuspectNews = NoSuspects()
+        self.suspects: SuspectExchange = NoSuspectExchange()
         self.is_watcher = True
         self.ages = NewsAges(clock)
         self.partial_revision = 0
@@ -96,18 +100,22 @@
         self.writer = MessageWriter(
             own, view, self.table, self.ages, clock, self.link_is_full
         )
-        self.under_way: dict[str, asyncio.Task[None]] = {}
+        self.exchange_tasks: dict[str, asyncio.Task[None]] = {}
         self.notifier = PeerNotifier(
             session,
             clock,
-            lambda before: self.writer.message(before, []),
-            self._note_failure,
+            lambda before: self.writer.create_message(before, []),
+            self._record_exchange_failure,
             self.bytes,
         )
-        self.early_notifier = PeerNotifier(
-            session, clock, self.writer.partial, self._note_failure, self.bytes
+        self.partial_notifier = PeerNotifier(
+            session,
+            clock,
+            self.writer.create_partial,
+            self._record_exchange_failure,
+            self.bytes,
         )
-        self.asked_for_news_at: float | None = None
+        self.update_requested_at: float | None = None
         self.delays = MessageDelays()
         self.exchanges = 0
         self.failures = 0
@@ -115,24 +123,24 @@
     async def async_run(self) -> None:
         """Exchange with peers until cancelled.
 
-        The next one does not wait for the one before: while a large value came over a
-        small link, the host's heartbeat would stand still, and after 3.5 s others would
-        no longer name it to callers.
+        An exchange does not wait for the previous one. While a large value arrived over
+        a slow link, the host's heartbeat would not advance, and after 3.5 s peers would
+        stop listing the host for callers.
         """
         while True:
             self.own.count += 1
-            address = self._next_address()
+            address = self._choose_peer()
             if address is not None:
-                self._start(address, self._async_exchange(address))
+                self._start_exchange(address, self._async_exchange(address))
             await asyncio.sleep(PERIOD_SECONDS * (0.8 + 0.4 * self.random.random()))
 
     def peer_addresses(self) -> list[str]:
-        """Return where the other hosts that are alive take messages."""
+        """Return the addresses at which live peers receive messages."""
         alive = self.table.alive(self.clock.monotonic())
         return [row.entry.peer_address for row in alive if row is not self.own]
 
     def must_watch(self) -> bool:
-        """Tell whether this host has to ask the store itself."""
+        """Return True if this host has to watch the store itself."""
         return must_watch(
             watcher=self.is_watcher,
             confirmed_at=self.ages.peers_at,
@@ -140,66 +148,74 @@
         )
 
     def link_is_full(self) -> bool:
-        """Tell whether all that this host sends and gets has to wait."""
+        """Return True if the link queues everything that this host transfers."""
         return self.link.is_full(self.clock.monotonic())
 
     def confirm(self, before: int, seconds_ago: float) -> None:
-        """Take in that the store told everything, and pass on what is new."""
+        """Record that the store sent everything, and notify peers of the changes.
+
+        ``before`` is the revision before the changes. ``seconds_ago`` is the age of the
+        store's answer in seconds.
+        """
         now = self.clock.monotonic()
         self.ages.note_store(seconds_ago)
         if not self.is_watcher or self.own.leaving:
             return
-        # What was removed before then is told by all that is left, large or not.
+        # Older removals are known only from a whole snapshot with all large values.
         splits = before >= self.view.removed_complete_after
         large = splits and self.view.has_large_after(before)
-        near = {
+        local_hosts = {
             state.entry.name: state.entry
             for state in self.table.alive(now)
-            if state is not self.own and self.table.is_near(state.entry)
+            if state is not self.own and self.table.is_local(state.entry)
         }
-        for name, members in relays_of(self.own.entry.region, near.values()).items():
-            relay = tuple(near[member].peer_address for member in members)
-            self.notifier.notify(near[name].peer_address, before, relay)
-        for entry in near.values():
-            # A large value waits for its turn, and for full links. Told of with it, a
-            # server that leaves would be used for as long.
-            if large or (splits and entry.peer_address in self.notifier.large):
-                self.early_notifier.notify(entry.peer_address, before)
-
-    def _start(self, address: str, work: Coroutine[Any, Any, None]) -> None:
-        """Run one task for a peer at a time; one that is behind asks by itself."""
-        if address in self.under_way:
+        for name, members in relays_of(
+            self.own.entry.region, local_hosts.values()
+        ).items():
+            relay = tuple(local_hosts[member].peer_address for member in members)
+            self.notifier.notify(local_hosts[name].peer_address, before, relay)
+        for entry in local_hosts.values():
+            # A large value waits for a send slot and for saturated links. If a server's
+            # departure were sent with it, the server would stay in use for as long.
+            if large or (
+                splits and entry.peer_address in self.notifier.large_addresses
+            ):
+                self.partial_notifier.notify(entry.peer_address, before)
+
+    def _start_exchange(self, address: str, work: Coroutine[Any, Any, None]) -> None:
+        """Start an exchange with a peer unless one is running."""
+        if address in self.exchange_tasks:
             work.close()
             return
         task = asyncio.get_running_loop().create_task(work)
-        self.under_way[address] = task
-        task.add_done_callback(lambda _: self.under_way.pop(address, None))
+        self.exchange_tasks[address] = task
+        task.add_done_callback(lambda _: self.exchange_tasks.pop(address, None))
 
     async def async_take_news(self, request: web.BaseRequest) -> web.Response:
-        """Take in what the watcher of this region tells."""
+        """Handle an update from the watcher of this region."""
         try:
             body = await request.read()
             self.bytes["news", RECEIVED] += len(body)
             message = decode(body)
-            self._take(message, self._sent_after(message, len(body)))
+            self._apply_message(message, self._earliest_send_time(message, len(body)))
         except msgspec.MsgspecError as error:
             self.events.record(Event.PEER_MESSAGE_REJECTED, detail=str(error))
             return web.Response(status=400)
-        if not self._pass_on(message):
+        if not self._relay_update(message):
             return web.Response(status=409)
-        known = self.view.revision
+        current = self.view.revision
         if message.partial_after is not None:
-            known = self._partial_revision()
-        if known < message.revision and message.hosts:
-            # News before this one got lost, and this one can't stand without it.
+            current = self._small_values_revision()
+        if current < message.revision and message.hosts:
+            # An earlier update was lost, so this one can't be applied.
             address = message.hosts[0].entry.peer_address
-            self._start(address, self._async_exchange(address))
+            self._start_exchange(address, self._async_exchange(address))
         return web.Response(status=204)
 
-    def _pass_on(self, message: Message) -> bool:
-        """Tell other hosts what the watcher told; False where it is not known here.
+    def _relay_update(self, message: Message) -> bool:
+        """Relay the watcher's update; return False if this host lacks its revision.
 
-        The watcher tells them itself then.
+        The watcher then notifies the other hosts itself.
         """
         if message.relay and self.view.revision < message.revision:
             return False
@@ -208,40 +224,42 @@
         return True
 
     async def _async_exchange(self, address: str) -> None:
-        """Exchange with one peer; a failure only means that its news gets older.
+        """Exchange with one peer; on a failure the local view only gets older.
 
-        One exchange at a time brings news, the others only heartbeats: copies of the
-        same large value side by side would each take several times as long.
+        Only one exchange at a time asks for items, the others carry heartbeats:
+        concurrent copies of the same large value would each take several times as long.
         """
-        began = self.clock.monotonic()
-        asked_at = self.asked_for_news_at
-        wants_news = asked_at is None or began - asked_at > NEWS_SECONDS
+        started_at = self.clock.monotonic()
+        requested_at = self.update_requested_at
+        wants_news = (
+            requested_at is None or started_at - requested_at > UPDATE_WAIT_SECONDS
+        )
         if wants_news:
-            self.asked_for_news_at = began
+            self.update_requested_at = started_at
         try:
             message = await self._async_ask(address, wants_news=wants_news)
-            self._sent_after(message, 0)
-            self._take(message, began)
+            self._earliest_send_time(message, 0)
+            self._apply_message(message, started_at)
             if message.proof is not None:
-                self.view.certainty.take(message.proof, began)
-            seconds = self.clock.monotonic() - began
-            self.distances.note(self.table.region_of(address), seconds)
+                self.view.certainty.take(message.proof, started_at)
+            seconds = self.clock.monotonic() - started_at
+            self.distances.record_exchange(self.table.region_of(address), seconds)
         except (
             TimeoutError,
             aiohttp.ClientError,
             OSError,
             msgspec.MsgspecError,
         ) as error:
-            self._note_failure(address, error)
+            self._record_exchange_failure(address, error)
         finally:
-            if wants_news and self.asked_for_news_at == began:
-                self.asked_for_news_at = None
+            if wants_news and self.update_requested_at == started_at:
+                self.update_requested_at = None
 
     async def _async_ask(self, address: str, *, wants_news: bool) -> Message:
-        """Send this host's half to a peer and return the peer's."""
+        """Send this host's exchange message to a peer and return the peer's."""
         body = self.encoded(self.view.revision, wants_news=wants_news)
-        # Asked for with this half; should the answer be lost, the next heartbeat of a
-        # host that is not known here asks again.
+        # The message just encoded asks for the addresses. If the answer is lost, the
+        # next heartbeat of an unknown host sets this again.
         self.table.lacks_addresses = False
         self.exchanges += 1
         self.bytes["exchange", SENT] += len(body)
@@ -254,73 +272,77 @@
         self.bytes["exchange", RECEIVED] += len(data)
         return decode(data)
 
-    def _note_failure(self, address: str, error: BaseException) -> None:
-        """Tell of an exchange that failed."""
+    def _record_exchange_failure(self, address: str, error: BaseException) -> None:
+        """Count and log a failed exchange."""
         self.failures += 1
         self.events.record(
             Event.PEER_MESSAGE_DROPPED, address=address, detail=type(error).__name__
         )
 
     def encoded(self, revision: int, *, wants_news: bool = True) -> bytes:
-        """Return this host's half of an exchange with a peer at a revision."""
-        known = self.table.recent(self.clock.monotonic())
-        message = self.writer.message(revision, known)
+        """Return this host's encoded exchange message for a peer at a revision."""
+        peers = self.table.recent_peers(self.clock.monotonic())
+        message = self.writer.create_message(revision, peers)
         message.wants_news = wants_news
         message.suspects = self.suspects.shared()
         return encode(message)
 
     def take_encoded(self, body: bytes) -> None:
-        """Take in a peer's half; raise MsgspecError where it can't be read."""
-        self._take(decode(body), self.clock.monotonic())
+        """Apply a peer's exchange message; raise MsgspecError if it is invalid."""
+        self._apply_message(decode(body), self.clock.monotonic())
 
     async def async_answer(self, request: web.BaseRequest) -> web.Response:
-        """Answer a peer's half of an exchange."""
+        """Answer a peer's exchange message."""
         try:
             body = await request.read()
             self.bytes["exchange", RECEIVED] += len(body)
             message = decode(body)
-            # How long this half was under way is not known, so its age is left aside.
-            self._take(message, None)
+            # The message's time in transit is unknown, so its age is ignored.
+            self._apply_message(message, None)
         except msgspec.MsgspecError as error:
             self.events.record(Event.PEER_MESSAGE_REJECTED, detail=str(error))
             return web.Response(status=400)
-        known = self.table.recent(self.clock.monotonic())
+        peers = self.table.recent_peers(self.clock.monotonic())
         revision = message.revision if message.wants_news else self.view.revision
-        answer = self.writer.message(revision, known, full=message.wants_addresses)
+        answer = self.writer.create_message(
+            revision, peers, full=message.wants_addresses
+        )
         answer.suspects = self.suspects.shared()
         body = encode(answer)
         self.bytes["exchange", SENT] += len(body)
         return web.Response(body=body)
 
-    def _sent_after(self, message: Message, size: int) -> float:
-        """Return a time before which news was not written, as far as can be told."""
+    def _earliest_send_time(self, message: Message, size: int) -> float:
+        """Return the estimated earliest time at which a message was written."""
         now = self.clock.monotonic()
         sender = message.hosts[0] if message.hosts else None
         delay = None
         if sender is not None and message.sent_at is not None:
             name = sender.entry.name
-            delay = self.delays.note(name, sender.started, message.sent_at, now)
+            delay = self.delays.record_message(
+                name, sender.started, message.sent_at, now
+            )
         if delay is None:
-            # Nothing to compare with: as long as its sender would have waited.
+            # Without an earlier message to compare with, assume the sender's timeout.
             delay = EXCHANGE_SECONDS + send_seconds(size)
         return now - delay
 
-    def _take(self, message: Message, sent_after: float | None) -> None:
-        """Take in a peer's half, or news.
+    def _apply_message(self, message: Message, sent_after: float | None) -> None:
+        """Apply an exchange message or an update.
 
-        ``sent_after`` is a time before which it was not written, None if unknown.
+        ``sent_after`` is the earliest time at which it was written, None if unknown.
         """
         now = self.clock.monotonic()
-        self.table.take(message, now)
+        self.table.merge(message, now)
         self.writer.loads.take(message.loads, now)
         self.writer.busy_servers.take(message.busy_servers, self.view.servers, now)
         self.suspects.take(message.suspects)
         if message.partial_after is not None:
-            self._take_partial(message, message.partial_after, sent_after)
+            self._apply_partial(message, message.partial_after, sent_after)
             return
         before = self.view.revision
         if message.revision > before >= message.after:
-            self._take_news(message, now)
+            self._apply_changes(message, now)
             self.events.record(
                 Event.CONFIGURATION_FROM_PEER,
                 before=before,
@@ -333,27 +355,27 @@
             full_link = message.full_link
             self.ages.note_peer(sent_after, message.age, full_link=full_link)
 
-    def _take_partial(
+    def _apply_partial(
         self, message: Message, after: int, sent_after: float | None
     ) -> None:
-        """Take in the small items of a message; the view stays incomplete."""
+        """Apply the small items of a message; the view stays incomplete."""
         items = [self.writer.packer.unpack(item) for item in message.items]
         changes = Changes((*items, *message.removed), self.view.revision)
-        self.view.apply(changes, self.clock.monotonic(), _unconfirmed(message))
-        if after > self._partial_revision():
+        self.view.apply(changes, self.clock.monotonic(), _unconfirmed_removals(message))
+        if after > self._small_values_revision():
             return
         self.partial_revision = max(self.partial_revision, message.revision)
         if message.age is not None and sent_after is not None:
             self.ages.note_servers(sent_after - message.age)
 
-    def _partial_revision(self) -> int:
-        """Return up to which revision this host knows all but large values."""
+    def _small_values_revision(self) -> int:
+        """Return the revision up to which the view lacks at most large values."""
         return max(self.view.revision, self.partial_revision)
 
-    def _take_news(self, message: Message, now: float) -> None:
-        """Take in the store's items that a peer passes on."""
+    def _apply_changes(self, message: Message, now: float) -> None:
+        """Apply the store's items from a peer's message."""
         items = [self.writer.packer.unpack(item) for item in message.items]
-        lapsed = _unconfirmed(message)
+        lapsed = _unconfirmed_removals(message)
         if message.whole:
             snapshot = Snapshot(tuple(items), message.revision)
             self.view.replace(snapshot, now, lapsed)
@@ -361,32 +383,37 @@
         changes = Changes((*items, *message.removed), message.revision)
         self.view.apply(changes, now, lapsed)
 
-    def _next_address(self) -> str | None:
-        """Return whom to exchange with: a host at random, or a seed while alone."""
+    def _choose_peer(self) -> str | None:
+        """Return the address of a random host, or of a seed while few are known."""
         now = self.clock.monotonic()
-        self.table.forget_lost(now)
-        self.delays.keep(self.table.heard)
+        self.table.evict_expired(now)
+        self.delays.retain(self.table.peers_by_name)
         own = self.own.entry.peer_address
-        entries = [row.state.entry for row in self.table.recent(now)]
-        known = {entry.peer_address for entry in entries}
-        known |= {entry.peer_address for entry in self.view.hosts.values()}
-        known.discard(own)
-        if len(known) < 2:
-            known |= {seed for seed in self.seeds if seed != own}
-        if not known:
+        entries = [row.state.entry for row in self.table.recent_peers(now)]
+        addresses = {entry.peer_address for entry in entries}
+        addresses |= {entry.peer_address for entry in self.view.hosts.values()}
+        addresses.discard(own)
+        if len(addresses) < 2:
+            addresses |= {seed for seed in self.seeds if seed != own}
+        if not addresses:
             return None
-        near = known & {
-            entry.peer_address for entry in entries if self.table.is_near(entry)
+        local = addresses & {
+            entry.peer_address for entry in entries if self.table.is_local(entry)
         }
-        chosen = near if near and self.random.random() < NEAR_SHARE else known
+        chosen = (
+            local
+            if local and self.random.random() < LOCAL_EXCHANGE_SHARE
+            else addresses
+        )
         ordered = sorted(chosen)
         return ordered[self.random.randrange(len(ordered))]
 
 
-def _unconfirmed(message: Message) -> dict[str, float]:
-    """Return for how many seconds more removals of a message may be lapses.
+def _unconfirmed_removals(message: Message) -> dict[str, float]:
+    """Return how many more seconds each removed key stays unconfirmed.
 
-    A peer of the former version names them only.
+    A removal that follows an expired lease may be undone by a live server. A peer of
+    the previous version sends only the keys, without seconds.
     """
     rows = zip_longest(message.lapsed, message.lapsed_seconds, fillvalue=LAPSED_SECONDS)
     return {str(key): float(seconds) for key, seconds in rows}
--- a/packages/node/greengagepoint_node/gateway/gossip_messages.py
+++ b/packages/node/greengagepoint_node/gateway/gossip_messages.py
@@ -1,4 +1,4 @@
-"""What hosts send each other, and its encoding."""
+"""Define and encode the messages between hosts."""
 
 import zlib
 from typing import Final
@@ -12,7 +12,7 @@
 from greengagepoint_node.gateway.facts import HostEntry, RemovedKey
 from greengagepoint_node.gateway.packing import PackedItem
 
-# No message begins with this byte, which MessagePack leaves unused.
+# Marks a deflated message; MessagePack never uses this byte.
 DEFLATED: Final = b"\xc1"
 DEFLATED_MIN: Final = 512
 DEFLATED_MAX: Final = 64 * 1024
@@ -20,9 +20,9 @@
 
 
 class HostState(msgspec.Struct, array_like=True):
-    """What a host tells of itself.
+    """A host's state as it reports it.
 
-    ``started`` orders its lifetimes and ``count`` its news in one of them.
+    ``started`` orders its incarnations and ``count`` the states of one incarnation.
     """
 
     entry: HostEntry
@@ -32,7 +32,7 @@
 
 
 class Heartbeat(msgspec.Struct, array_like=True):
-    """A host's newest state without its addresses, which hardly ever change."""
+    """A host's newest state without its addresses, which rarely change."""
 
     name: str
     started: int
@@ -41,21 +41,21 @@
 
 
 class Message(msgspec.Struct, array_like=True):
-    """Half of an exchange, or news.
-
-    The items are those after the revision ``after``, or all where it is ``whole``: then
-    a key that is not among them has been removed. ``age`` is how many seconds ago
-    the sender's view was known to be complete, None where it never was.
-    ``wants_addresses`` asks for all hosts in full. ``wants_news`` is False where
-    another exchange already brings what the sender lacks. ``sent_at`` is by the
-    sender's steady clock. ``busy_servers`` are backend servers that are full.
-    ``lapsed_seconds`` are how long the removals of ``lapsed`` stay unconfirmed.
-    ``full_link`` tells that all that the sender sends and gets has to wait.
-    Where ``partial_after`` is set, the items are all after it but large values, which
-    come by themselves; ``after`` is then as high as ``revision``. ``suspects`` are
-    requests that end backend servers. ``proof`` is what the sender knows of the newest
-    configuration. ``relay`` are the addresses of hosts to which the receiver passes the
-    news on.
+    """One side's message of an exchange, or an update from the watcher.
+
+    ``items`` and ``removed`` are the changes after the revision ``after``. If
+    ``whole``, ``items`` is a snapshot instead, and keys that it lacks have been
+    removed. ``age`` is how many seconds ago the sender's view was known to be complete,
+    None if it never was. ``wants_addresses`` asks for the full states of all hosts.
+    ``wants_news`` is False while another exchange already fetches what the sender
+    lacks. ``sent_at`` is by the sender's steady clock. ``busy_servers`` are backend
+    servers without free slots. ``lapsed_seconds`` is how long the removals of the keys
+    in ``lapsed`` stay unconfirmed. ``full_link`` means that the sender's link is
+    saturated. If ``partial_after`` is set, the changes are those after it except large
+    values, which are sent separately, and ``after`` equals ``revision``. ``suspects``
+    are requests that crash backend servers. ``proof`` is the sender's proof of the
+    newest configuration. ``relay`` holds the addresses of hosts to which the receiver
+    relays the update.
     """
 
     revision: int
@@ -81,7 +81,7 @@
 
 
 def heartbeat_of(state: HostState) -> Heartbeat:
-    """Return a state without its addresses."""
+    """Return the heartbeat of a state."""
     return Heartbeat(state.entry.name, state.started, state.count, state.leaving)
 
 
@@ -90,10 +90,11 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return a message as it is sent, deflated where that saves much.
+    """Return an encoded message, deflated if that saves much.
 
-    A table of 300 hosts and the entries of servers take a third of their bytes then.
-    Large values are packed already, and dwarf what is beside them.
+    A table of 300 hosts and the entries of servers shrink to a third. Messages with
+    large values are not deflated: the values are compressed already and make up most
+    of the message.
     """
     body = ENCODER.encode(message)
     has_large = any(isinstance(row, PackedItem) and row.packed for row in message.items)
@@ -103,19 +104,19 @@
 
 
 def decode(body: bytes) -> Message:
-    """Return a message as it was written; raise msgspec.MsgspecError."""
+    """Return a decoded message; raise msgspec.MsgspecError if it is invalid."""
     if body.startswith(DEFLATED):
         body = _inflate(body[len(DEFLATED) :])
     return DECODER.decode(body)
 
 
 def _inflate(data: bytes) -> bytes:
-    """Return a deflated message; raise msgspec.ValidationError."""
+    """Return an inflated message; raise msgspec.ValidationError if it is invalid."""
     stream = zlib.decompressobj()
     try:
         body = stream.decompress(data, DEFLATED_MAX)
     except zlib.error as error:
         raise msgspec.ValidationError(f"message: {error}") from error
     if not stream.eof:
-        raise msgspec.ValidationError("message: cut short or too long")
+        raise msgspec.ValidationError("message: truncated or too long")
     return body
--- a/packages/node/greengagepoint_node/gateway/host_table.py
+++ b/packages/node/greengagepoint_node/gateway/host_table.py
@@ -1,4 +1,4 @@
-"""Know which hosts are alive from the heartbeats that peers pass on."""
+"""Track which hosts are alive by the heartbeats that peers pass on."""
 
 from typing import Final
 
@@ -9,20 +9,20 @@
 from greengagepoint_node.gateway.facts import HostEntry
 from greengagepoint_node.gateway.gossip_messages import Heartbeat, HostState, Message
 
-# Several rounds of exchanges; look-ups drop a dead host after it, under the 6 s that
-# users allow.
+# Several rounds of exchanges. Look-ups stop listing a dead host after this time, within
+# the 6 s that users allow.
 ALIVE_SECONDS: Final = 3.5
-FORGET_SECONDS: Final = 30.0
-# A lifetime is passed on with its addresses for this long; who lacks them later asks.
-# They are three quarters of a state's bytes.
+EVICT_SECONDS: Final = 30.0
+# The state of a new incarnation is passed on with its addresses for this long; a host
+# that lacks them later asks for them. They are three quarters of a state's bytes.
 ADDRESSES_SECONDS: Final = 5.0
 
 
 class HeardHost(msgspec.Struct):
-    """The newest state of another host and when news of it came; monotonic seconds.
+    """The newest state of another host and when it arrived, in monotonic seconds.
 
-    ``first_heard_at`` is when this lifetime was heard of; ``ended_start`` is the start
-    of one that it has replaced.
+    ``first_heard_at`` is when the first state of this incarnation arrived;
+    ``ended_start`` is the start time of the incarnation that it replaced.
     """
 
     state: HostState
@@ -32,86 +32,93 @@
 
 
 class HostTable:
-    """Keep this host and what is heard of the others; times are monotonic seconds."""
+    """Hold the states of this host and its peers; times are monotonic seconds."""
 
     def __init__(self, own: HostState, events: EventSink) -> None:
         self.own = own
         self.events = events
-        self.heard: dict[str, HeardHost] = {}
+        self.peers_by_name: dict[str, HeardHost] = {}
         self.lacks_addresses = False
 
     def alive(self, now: float) -> list[HostState]:
-        """Return this host and those that news came of lately."""
+        """Return this host and the recent peers, without those that are leaving."""
         rows = [self.own] if not self.own.leaving else []
-        rows += [row.state for row in self.recent(now) if not row.state.leaving]
+        rows += [row.state for row in self.recent_peers(now) if not row.state.leaving]
         return rows
 
-    def recent(self, now: float) -> list[HeardHost]:
-        """Return the other hosts that news came of lately, also those that leave."""
+    def recent_peers(self, now: float) -> list[HeardHost]:
+        """Return peers with a recent state, including those that are leaving."""
         return [
-            row for row in self.heard.values() if now - row.heard_at <= ALIVE_SECONDS
+            row
+            for row in self.peers_by_name.values()
+            if now - row.heard_at <= ALIVE_SECONDS
         ]
 
     def region_of(self, address: str) -> str | None:
-        """Return the region of the host that takes messages at an address."""
-        for row in self.heard.values():
+        """Return the region of the host with a peer address, None if unknown."""
+        for row in self.peers_by_name.values():
             if row.state.entry.peer_address == address:
                 return row.state.entry.region
         return None
 
-    def is_near(self, entry: HostEntry) -> bool:
-        """Tell whether a host is in this one's region."""
+    def is_local(self, entry: HostEntry) -> bool:
+        """Return True if a host is in this host's region."""
         return entry.region == self.own.entry.region
 
-    def take(self, message: Message, now: float) -> None:
-        """Keep what is news of hosts; note whether addresses are not known here."""
+    def merge(self, message: Message, now: float) -> None:
+        """Merge a message's hosts; set ``lacks_addresses`` for unknown hosts."""
         for state in message.hosts:
-            self.take_host(state, now)
-        for beat in message.heartbeats:
-            entry = self._entry(beat)
+            self.apply_state(state, now)
+        for heartbeat in message.heartbeats:
+            entry = self._known_entry(heartbeat)
             if entry is not None:
-                state = HostState(entry, beat.started, beat.count, beat.leaving)
-                self.take_host(state, now)
-            elif beat.name != self.own.entry.name:
+                state = HostState(
+                    entry, heartbeat.started, heartbeat.count, heartbeat.leaving
+                )
+                self.apply_state(state, now)
+            elif heartbeat.name != self.own.entry.name:
                 self.lacks_addresses = True
 
-    def forget_lost(self, now: float) -> None:
-        """Drop the hosts that nothing was heard of for long."""
+    def evict_expired(self, now: float) -> None:
+        """Drop hosts without a new state for ``EVICT_SECONDS``."""
         for name in [
             name
-            for name, row in self.heard.items()
-            if now - row.heard_at > FORGET_SECONDS
+            for name, row in self.peers_by_name.items()
+            if now - row.heard_at > EVICT_SECONDS
         ]:
-            del self.heard[name]
+            del self.peers_by_name[name]
 
-    def _entry(self, beat: Heartbeat) -> HostEntry | None:
-        """Return the addresses of a lifetime, None where they are not known."""
-        known = self.heard.get(beat.name)
-        if known is not None and known.state.started == beat.started:
-            return known.state.entry
+    def _known_entry(self, heartbeat: Heartbeat) -> HostEntry | None:
+        """Return the entry of a heartbeat's incarnation, None if it is unknown."""
+        previous = self.peers_by_name.get(heartbeat.name)
+        if previous is not None and previous.state.started == heartbeat.started:
+            return previous.state.entry
         return None
 
-    def take_host(self, state: HostState, now: float) -> None:
-        """Keep what is news of a host."""
+    def apply_state(self, state: HostState, now: float) -> None:
+        """Store a host's state if it is newer than the known one."""
         name = state.entry.name
         if name == self.own.entry.name:
             return
-        known = self.heard.get(name)
-        if known is None:
-            self.heard[name] = HeardHost(state, now, now)
+        previous = self.peers_by_name.get(name)
+        if previous is None:
+            self.peers_by_name[name] = HeardHost(state, now, now)
             self.events.record(Event.HOST_ALIVE, host=name, region=state.entry.region)
             return
-        newer = (state.started, state.count) > (known.state.started, known.state.count)
-        # A clock that went back makes a new lifetime look older than the one before it,
-        # which is over once nothing of it has come for so long. What other hosts still
-        # pass on of it must not bring it back.
-        restarted = state.started != known.state.started
-        replaced = restarted and now - known.heard_at > ALIVE_SECONDS
-        if state.started == known.ended_start:
+        newer = (state.started, state.count) > (
+            previous.state.started,
+            previous.state.count,
+        )
+        # If the host's clock was set back, its new incarnation seems older than the
+        # previous one, which has ended if no state of it arrived for this long. States
+        # of it that peers still pass on must not bring it back.
+        restarted = state.started != previous.state.started
+        replaced = restarted and now - previous.heard_at > ALIVE_SECONDS
+        if state.started == previous.ended_start:
             return
         if newer or replaced:
-            if state.leaving and not known.state.leaving:
+            if state.leaving and not previous.state.leaving:
                 self.events.record(Event.HOST_LEAVING, host=name)
-            ended = known.state.started if restarted else known.ended_start
-            first_heard_at = now if restarted else known.first_heard_at
-            self.heard[name] = HeardHost(state, now, first_heard_at, ended)
+            ended = previous.state.started if restarted else previous.ended_start
+            first_heard_at = now if restarted else previous.first_heard_at
+            self.peers_by_name[name] = HeardHost(state, now, first_heard_at, ended)
--- a/packages/node/greengagepoint_node/gateway/listeners.py
+++ b/packages/node/greengagepoint_node/gateway/listeners.py
@@ -1,4 +1,4 @@
-"""Listen for callers, look-ups, readiness checks and peers."""
+"""Listen for requests of callers, look-ups, readiness checks and peers."""
 
 import asyncio
 import contextlib
@@ -19,18 +19,18 @@
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
-# The kernel drops the opening packet of a connection that finds the queue full, and
-# its caller tries again only after a second.
+# When the queue is full, the kernel drops the SYN of a new connection, and the caller
+# retransmits it only after a second.
 BACKLOG: Final = 1024
-# A connection whose other end went silent is found within three seconds: an idle second
+# A connection whose peer went silent is detected within three seconds: one idle second
 # and two probes.
 KEEPALIVE_IDLE_SECONDS: Final = 1
 KEEPALIVE_PROBES: Final = 2
 USER_TIMEOUT_MS: Final = 2_500
 
 
-def set_probes(sock: socket.socket) -> None:
-    """Let the kernel notice when the other end of a connection is gone."""
+def enable_keepalive(sock: socket.socket) -> None:
+    """Enable TCP keepalive, so that the kernel detects a lost peer."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_IDLE_SECONDS)
@@ -39,15 +39,15 @@
 
 
 def create_socket(family: int, kind: int, protocol: int) -> socket.socket:
-    """Return a client's socket with probes set."""
+    """Return a non-blocking client socket with TCP keepalive enabled."""
     sock = socket.socket(family, kind, protocol)
     sock.setblocking(False)
-    set_probes(sock)
+    enable_keepalive(sock)
     return sock
 
 
 class Listener:
-    """One address on which requests are answered."""
+    """Accept connections on one address and answer their requests."""
 
     def __init__(
         self,
@@ -64,12 +64,12 @@
         self.site: web.SockSite | None = None
 
     async def async_start(self) -> None:
-        """Begin to listen."""
+        """Start to listen."""
         host, _, port = self.address.rpartition(":")
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        # Accepted connections take these over from the listening socket.
-        set_probes(sock)
+        # Accepted connections inherit these options from the listening socket.
+        enable_keepalive(sock)
         sock.bind((host, int(port)))
         sock.setblocking(False)
         await self.runner.setup()
@@ -77,19 +77,19 @@
         await self.site.start()
 
     async def _async_dispatch(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Hand a request on; its connection has proved not to be a silent one."""
+        """Stop the first-request timer of the connection and call the handler."""
         stop_first_request_timer(request)
         return await self.handler(request)
 
     async def async_stop_accepting(self) -> None:
-        """Take no new connections and close the idle ones."""
+        """Stop accepting connections and close the idle ones."""
         if self.site is not None:
             await self.site.stop()
             self.site = None
         self.server.pre_shutdown()
 
     async def async_close(self, seconds: float) -> None:
-        """Close all connections once what is written on them has gone out."""
+        """Close all connections within ``seconds``, after sending buffered data."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds / 2):
                 await self.runner.cleanup()
--- a/packages/node/greengagepoint_node/gateway/message_writer.py
+++ b/packages/node/greengagepoint_node/gateway/message_writer.py
@@ -1,4 +1,4 @@
-"""Write what this host tells its peers."""
+"""Build the messages that this host sends to its peers."""
 
 import math
 from collections.abc import Callable
@@ -28,7 +28,7 @@
 
 
 class MessageWriter:
-    """Put together what peers lack of the view, the hosts and the servers' loads."""
+    """Build messages from the view, the host table and the loads of the servers."""
 
     def __init__(
         self,
@@ -49,25 +49,27 @@
         self.loads = RegionLoads(own.entry.region)
         self.busy_servers = BusyServers()
 
-    def message(
-        self, revision: int, others: list[HeardHost], *, full: bool = False
+    def create_message(
+        self, revision: int, peers: list[HeardHost], *, full: bool = False
     ) -> Message:
-        """Return what a peer at a revision lacks, with the states of other hosts.
+        """Return a message with what a peer at a revision lacks and states of hosts.
 
-        Their addresses are left out where peers should have them, unless ``full``.
+        Addresses that the peer should have already are left out, unless ``full``.
         """
         now = self.clock.monotonic()
         new_since = now - ADDRESSES_SECONDS
         in_full: list[HeardHost] = []
-        in_short: list[HeardHost] = []
-        for row in others:
-            chosen = in_full if full or row.first_heard_at >= new_since else in_short
+        as_heartbeats: list[HeardHost] = []
+        for row in peers:
+            chosen = (
+                in_full if full or row.first_heard_at >= new_since else as_heartbeats
+            )
             chosen.append(row)
-        news: Changes | Snapshot = Changes((), self.view.revision)
+        missing: Changes | Snapshot = Changes((), self.view.revision)
         if revision < self.view.revision:
-            news = self.view.changes_after(revision)
-        whole = isinstance(news, Snapshot)
-        rows = news.items if whole else news.changes
+            missing = self.view.changes_after(revision)
+        whole = isinstance(missing, Snapshot)
+        rows = missing.items if whole else missing.changes
         age = now - self.ages.complete_at()
         unconfirmed = self.view.unconfirmed_removals(now)
         return Message(
@@ -75,7 +77,7 @@
             after=min(revision, self.view.revision),
             age=age if math.isfinite(age) else None,
             hosts=[self.own, *(row.state for row in in_full)],
-            heartbeats=[heartbeat_of(row.state) for row in in_short],
+            heartbeats=[heartbeat_of(row.state) for row in as_heartbeats],
             wants_addresses=self.table.lacks_addresses,
             items=[self.packer.pack(row) for row in rows if _is_item(row)],
             removed=[row for row in rows if isinstance(row, RemovedKey)],
@@ -89,9 +91,9 @@
             proof=self.view.certainty.proof(now),
         )
 
-    def partial(self, revision: int) -> Message:
-        """Return what a peer at a revision lacks but large values."""
-        message = self.message(self.view.revision, [])
+    def create_partial(self, revision: int) -> Message:
+        """Return a message with all that a peer lacks except large values."""
+        message = self.create_message(self.view.revision, [])
         rows = self.view.small_changes_after(revision)
         message.items = [self.packer.pack(row) for row in rows if _is_item(row)]
         message.removed = [row for row in rows if isinstance(row, RemovedKey)]
@@ -100,5 +102,5 @@
 
 
 def _is_item(row: StoredItem | RemovedKey) -> bool:
-    """Tell a change from a removal."""
+    """Return True for a stored item, False for a removed key."""
     return isinstance(row, StoredItem)
--- a/packages/node/greengagepoint_node/gateway/packing.py
+++ b/packages/node/greengagepoint_node/gateway/packing.py
@@ -1,4 +1,4 @@
-"""Pack large values for their way between hosts."""
+"""Compress large values for transfers between hosts."""
 
 import zlib
 from typing import Final
@@ -7,19 +7,20 @@
 
 from greengagepoint_node.gateway.facts import StoredItem, is_large
 
-# The fastest level packs a configuration nearly as small as the usual one.
+# The fastest level compresses a configuration nearly as well as the default one.
 LEVEL: Final = 1
-# Four times what the store takes for one value; more would be a broken message.
+# Four times the store's limit for one value; a larger one means a broken message.
 VALUE_BYTES_MAX: Final = 4 * 1024 * 1024
-# Configurations are the only large values known; the bound only ends a leak.
+# Only configurations are large values; the bound guards against a leak.
 CACHED_MAX: Final = 16
 
 
 class PackedItem(msgspec.Struct, array_like=True, frozen=True):
-    """One key of the store on its way; ``value`` is deflated where it is ``packed``.
+    """One item of the store in a message; ``value`` is deflated if ``packed``.
 
-    A small item travels without the last field, as hosts of the former version send and
-    read it. They refuse a message with a packed one, and ask the store themselves.
+    Small items are sent without the last field, as hosts of the previous version send
+    and read them. Those hosts reject a message with a packed item and read the store
+    themselves.
     """
 
     key: str
@@ -29,36 +30,36 @@
 
 
 class ItemPacker:
-    """Pack each value once, however many peers it goes to.
+    """Compress each value once for all peers.
 
-    A host whose link carries 5 Mbit/s needs 1.4 s for the 848 KB of 4,200 routes, and
-    its callers get 404 on new routes until then; packed they take 0.1 s.
+    A host with a link of 5 Mbit/s needs 1.4 s to receive the 848 KB of 4,200 routes,
+    and answers 404 on new routes until then; compressed they take 0.1 s.
     """
 
     def __init__(self) -> None:
         self.cached: dict[str, PackedItem] = {}
 
     def pack(self, item: StoredItem) -> PackedItem | StoredItem:
-        """Return an item as it is sent."""
+        """Return an item in the form in which it is sent."""
         if not is_large(item):
             return item
-        known = self.cached.get(item.key)
-        if known is None or known.revision != item.revision:
+        packed_item = self.cached.get(item.key)
+        if packed_item is None or packed_item.revision != item.revision:
             value = zlib.compress(item.value, LEVEL)
-            known = PackedItem(item.key, value, item.revision, packed=True)
-            self._keep(known)
-        return known
+            packed_item = PackedItem(item.key, value, item.revision, packed=True)
+            self._cache(packed_item)
+        return packed_item
 
     def unpack(self, item: PackedItem) -> StoredItem:
-        """Return an item as the store holds it; raise msgspec.ValidationError."""
+        """Return an item as in the store; raise msgspec.ValidationError if broken."""
         if not item.packed:
             return StoredItem(item.key, item.value, item.revision)
         value = _inflate(item)
-        self._keep(item)
+        self._cache(item)
         return StoredItem(item.key, value, item.revision)
 
-    def _keep(self, item: PackedItem) -> None:
-        """Keep a packed item for the next peer."""
+    def _cache(self, item: PackedItem) -> None:
+        """Cache a packed item for other peers."""
         self.cached.pop(item.key, None)
         self.cached[item.key] = item
         if len(self.cached) > CACHED_MAX:
@@ -66,12 +67,12 @@
 
 
 def _inflate(item: PackedItem) -> bytes:
-    """Return a packed value whole."""
+    """Return the inflated value; raise msgspec.ValidationError if broken."""
     stream = zlib.decompressobj()
     try:
         value = stream.decompress(item.value, VALUE_BYTES_MAX)
     except zlib.error as error:
         raise msgspec.ValidationError(f"{item.key}: {error}") from error
     if not stream.eof:
-        raise msgspec.ValidationError(f"{item.key}: cut short or too long")
+        raise msgspec.ValidationError(f"{item.key}: truncated or too long")
     return value
--- a/packages/node/greengagepoint_node/gateway/peer_session.py
+++ b/packages/node/greengagepoint_node/gateway/peer_session.py
@@ -1,4 +1,4 @@
-"""The HTTP session towards other hosts."""
+"""Create the HTTP sessions to other hosts."""
 
 from typing import Final
 
@@ -6,18 +6,18 @@
 
 from greengagepoint_node.gateway.listeners import create_socket
 
-# Reports come at least once a second.
+# Longer than the second between two reports at most.
 REPORT_KEEPALIVE_SECONDS: Final = 3.0
 
 
 def create_peer_session(
     trace: aiohttp.TraceConfig | None = None,
 ) -> aiohttp.ClientSession:
-    """Return the session towards other hosts.
+    """Return the session for exchanges with other hosts.
 
-    Each exchange opens its connection anew. After a cut, kept connections may stand
-    still for good while new ones work, and each would have to time out before news came
-    by that peer again.
+    Each exchange opens a new connection. After a network partition, kept connections
+    may stall forever while new ones work, and each would have to time out before
+    updates from its peer arrive again.
     """
     connector = aiohttp.TCPConnector(
         limit=0,
@@ -32,9 +32,9 @@
 
 
 def create_report_session() -> aiohttp.ClientSession:
-    """Return the session for messages to one host, several each second.
+    """Return the session for reports, which go to one host several times a second.
 
-    Its connection is kept; one that stands still ends with the report that timed out.
+    It keeps its connection; a stalled one is closed when a report times out.
     """
     connector = aiohttp.TCPConnector(
         limit=0,
--- a/packages/node/greengagepoint_node/gateway/region_reports.py
+++ b/packages/node/greengagepoint_node/gateway/region_reports.py
@@ -1,8 +1,9 @@
-"""Report to one host of the region, its ledger, and hear what all hosts did together.
+"""Report this host's requests to the region's ledger and receive the shared limits.
 
-The host that watches the store for its region also adds up what the region's hosts
-admit of each account. It tells the ledgers of other regions, and answers each report
-with the accounts that are over their limits and a proof of the newest configuration.
+The ledger is the host that watches the store for its region. It also sums the requests
+that the region's hosts admit for each account and sends the sums to the ledgers of
+other regions. It answers each report with the accounts that are over their limits and
+a proof of the newest configuration.
 """
 
 import asyncio
@@ -28,21 +29,22 @@
 from greengagepoint_node.gateway.view import FleetView
 
 REPORTS_PATH: Final = "/v1/region-reports"
-# An account that floods goes on for about two of these before all hosts know.
+# An account that floods continues for about two periods before all hosts limit it.
 PERIOD_SECONDS: Final = 0.2
-# In a region of more hosts each one reports less often, so that its ledger has no more
-# to answer.
+# In regions with more hosts, each host reports less often to keep the ledger's load
+# constant.
 HOSTS_AT_PERIOD: Final = 60
-# Two regions are 40 ms apart there and back.
+# The round trip between two regions is 40 ms.
 REPORT_SECONDS: Final = 0.4
 FULL_LINK_REPORT_SECONDS: Final = 2.0
-# A host that did not answer is passed over for as long.
-FAILED_SECONDS: Final = 2.0
-TRIES: Final = 2
-# A host that hears of others' use by reports is one that they reach.
-HEARD_SECONDS: Final = 1.0
-# Hosts that are in the store, but not heard of, may be about to start with this one.
-STARTING_SECONDS: Final = 5.0
+# A host that did not answer gets no reports for this long.
+FAILED_HOST_SKIP_SECONDS: Final = 2.0
+ATTEMPTS_MAX: Final = 2
+# A host that received a report this recently is reachable by other hosts.
+REPORT_VALID_SECONDS: Final = 1.0
+# For this long after the start, hosts that are in the store but have sent no heartbeat
+# count as live: they may be starting at the same time.
+STARTUP_SECONDS: Final = 5.0
 
 encode = msgspec.msgpack.Encoder().encode
 decode_report = msgspec.msgpack.Decoder(UsageReport).decode
@@ -50,7 +52,7 @@
 
 
 class RegionReports:
-    """Tell the region's ledger what this host does, and be that ledger if chosen."""
+    """Report to the region's ledger, and act as the ledger when ranked first."""
 
     def __init__(
         self,
@@ -75,16 +77,16 @@
         self.events = events
         self.transferred = transferred
         self.started_at = clock.monotonic()
-        self.heard_at = float("-inf")
-        self.failed_until: dict[str, float] = {}
-        self.told_sums: dict[str, dict[str, int]] = {}
+        self.report_received_at = float("-inf")
+        self.skipped_until: dict[str, float] = {}
+        self.acknowledged_sums: dict[str, dict[str, int]] = {}
         self.link_is_full = False
         self.near_hosts = 1
-        self.over: set[str] = set()
-        self.sends: dict[str, asyncio.Task[None]] = {}
+        self.over_limit: set[str] = set()
+        self.send_tasks: dict[str, asyncio.Task[None]] = {}
 
     async def async_run(self) -> None:
-        """Report until cancelled; where there are no accounts there are no reports."""
+        """Report until cancelled; without accounts, send no reports."""
         reported_at = float("-inf")
         while True:
             await asyncio.sleep(self.period_seconds())
@@ -96,19 +98,19 @@
             if self.gate.changed or now - reported_at >= REPORT_IDLE_SECONDS:
                 reported_at = now
                 await self._async_report()
-            self._tell_others()
+            self._send_sums_to_ledgers()
 
     def period_seconds(self) -> float:
-        """Return how often to report."""
+        """Return the seconds between reports."""
         return PERIOD_SECONDS * max(1.0, self.near_hosts / HOSTS_AT_PERIOD)
 
     def accounts(self) -> dict[str, Account]:
-        """Return the accounts in force by name."""
+        """Return the active accounts by name."""
         routes = self.view.routes
         return routes.accounts.by_name if routes is not None else {}
 
     async def async_take(self, request: web.BaseRequest) -> web.Response:
-        """Answer a report of another host."""
+        """Handle a report of another host."""
         body = await request.read()
         self.transferred["reports", "received"] += len(body)
         try:
@@ -117,13 +119,13 @@
             self.events.record(Event.PEER_MESSAGE_REJECTED, detail=str(error))
             return web.Response(status=400)
         now = self.clock.monotonic()
-        self.heard_at = now
+        self.report_received_at = now
         answer = encode(self._answer(report, now))
         self.transferred["reports", "sent"] += len(answer)
         return web.Response(body=answer)
 
     def _answer(self, report: UsageReport, now: float) -> UsageAnswer:
-        """Take in a report and return what its host is told."""
+        """Apply a report and return the answer for its host."""
         accounts = self.accounts()
         own = self.own.entry.name
         self.ledger.take(report, accounts, now, answered_here=report.answered_by == own)
@@ -131,12 +133,12 @@
             return UsageAnswer([])
         names = [row.account for row in report.rows]
         limits = self.ledger.limits(accounts, names, now)
-        self._note_limits({row.account for row in limits if row.share < 1.0})
+        self._log_limit_changes({row.account for row in limits if row.share < 1.0})
         return UsageAnswer(limits, self.view.certainty.proof(now), own)
 
-    def _note_limits(self, over: set[str]) -> None:
-        """Log accounts that have come to be over their limits, or to be within."""
-        for name in over ^ self.over:
+    def _log_limit_changes(self, over_limit: set[str]) -> None:
+        """Log accounts that went over their limits or came back within them."""
+        for name in over_limit ^ self.over_limit:
             account = self.accounts().get(name)
             use = self.ledger.uses.get(name)
             if account is None or use is None:
@@ -144,16 +146,16 @@
             self.events.record(
                 Event.ACCOUNT_LIMIT_CHANGED,
                 account=name,
-                over=name in over,
+                over=name in over_limit,
                 limit=account.requests_per_second,
                 burst=account.burst,
                 left=round(use.level, 1),
                 asked=round(use.asked.read(self.clock.monotonic()), 1),
             )
-        self.over = over
+        self.over_limit = over_limit
 
     async def _async_report(self) -> None:
-        """Report to the first host that answers."""
+        """Send this host's report to the first ledger candidate that answers."""
         rows = self.gate.report()
         report = UsageReport(
             self.own.entry.name,
@@ -162,38 +164,41 @@
             unanswered=self.gate.unanswered,
             answered_by=self.answered_by,
         )
-        for entry in self._ledgers()[:TRIES]:
-            asked_at = self.clock.monotonic()
+        for entry in self._ledger_candidates()[:ATTEMPTS_MAX]:
+            requested_at = self.clock.monotonic()
             answer = await self._async_ask(entry, report)
             if answer is not None:
-                self._take_answer(answer, asked_at)
+                self._apply_answer(answer, requested_at)
                 return
         self.gate.take_back(rows)
 
-    def _take_answer(self, answer: UsageAnswer, asked_at: float) -> None:
-        """Take in what the ledger told."""
+    def _apply_answer(self, answer: UsageAnswer, requested_at: float) -> None:
+        """Apply the ledger's answer."""
         self.answered_by = answer.ledger
-        self.gate.told(answer.limits, asked_at, self.clock.monotonic())
+        self.gate.told(answer.limits, requested_at, self.clock.monotonic())
         if answer.proof is not None:
-            self.view.certainty.take(answer.proof, asked_at)
+            self.view.certainty.take(answer.proof, requested_at)
 
     async def _async_ask(
         self, entry: HostEntry, report: UsageReport
     ) -> UsageAnswer | None:
-        """Return a host's answer to a report, None where it gives none."""
+        """Return a host's answer to a report, or None without an answer."""
         now = self.clock.monotonic()
         if entry.name != self.own.entry.name:
             return await self._async_send(entry.peer_address, report)
-        # Alone, a host can't tell whether the others have been cut off from it, and
-        # go on with parts of the same limits.
-        if now - self.heard_at > HEARD_SECONDS and len(self._known()) > 1:
+        # Without recent reports, this host may be cut off from the others, which go on
+        # using shares of the same limits.
+        if (
+            now - self.report_received_at > REPORT_VALID_SECONDS
+            and len(self._candidate_hosts()) > 1
+        ):
             return None
         return self._answer(report, now)
 
     async def _async_send(
         self, address: str, report: UsageReport
     ) -> UsageAnswer | None:
-        """Send a report to another host; None where it does not answer in time."""
+        """Send a report to another host; return None if it does not answer in time."""
         body = encode(report)
         self.transferred["reports", "sent"] += len(body)
         url = f"http://{address}{REPORTS_PATH}"
@@ -210,75 +215,79 @@
             OSError,
             msgspec.MsgspecError,
         ) as error:
-            self.failed_until[address] = self.clock.monotonic() + FAILED_SECONDS
+            self.skipped_until[address] = (
+                self.clock.monotonic() + FAILED_HOST_SKIP_SECONDS
+            )
             detail = type(error).__name__
             self.events.record(
                 Event.PEER_MESSAGE_DROPPED, address=address, detail=detail
             )
             return None
 
-    def _known(self) -> list[HostEntry]:
-        """Return the hosts that live, and for a while those that may yet start."""
+    def _candidate_hosts(self) -> list[HostEntry]:
+        """Return the live hosts, and during startup also all hosts in the store."""
         now = self.clock.monotonic()
-        known = {row.entry.name: row.entry for row in self.table.alive(now)}
-        if now - self.started_at < STARTING_SECONDS:
-            known = {**self.view.hosts, **known}
-        return list(known.values())
+        candidates = {row.entry.name: row.entry for row in self.table.alive(now)}
+        if now - self.started_at < STARTUP_SECONDS:
+            candidates = {**self.view.hosts, **candidates}
+        return list(candidates.values())
 
-    def _ledgers(self) -> list[HostEntry]:
-        """Return whom to report to, the first choice first.
+    def _ledger_candidates(self) -> list[HostEntry]:
+        """Return the hosts to report to, in order of preference.
 
-        Those of the own region, then the first of each other one: a host that is alone
-        in its region reports there.
+        The hosts of the own region come first, then the first-ranked host of each other
+        region, to which a host that is alone in its region reports.
         """
-        known = self._known()
+        candidates = self._candidate_hosts()
         own = self.own.entry.region
-        regions = sorted({entry.region for entry in known} - {own})
-        chosen = self._ranked(own, known)
+        regions = sorted({entry.region for entry in candidates} - {own})
+        chosen = self._ranked_hosts(own, candidates)
         for region in regions:
-            chosen += self._ranked(region, known)[:1]
+            chosen += self._ranked_hosts(region, candidates)[:1]
         now = self.clock.monotonic()
         return [
             entry
             for entry in chosen
-            if self.failed_until.get(entry.peer_address, 0.0) <= now
+            if self.skipped_until.get(entry.peer_address, 0.0) <= now
         ]
 
-    def _ranked(self, region: str, known: list[HostEntry]) -> list[HostEntry]:
-        """Return the hosts of a region in the order in which they are chosen."""
-        near = [entry for entry in known if entry.region == region]
-        return rank(region, well_linked(near), lambda entry: entry.name)
+    def _ranked_hosts(
+        self, region: str, candidates: list[HostEntry]
+    ) -> list[HostEntry]:
+        """Return the well-linked hosts of a region by rendezvous rank."""
+        members = [entry for entry in candidates if entry.region == region]
+        return rank(region, well_linked(members), lambda entry: entry.name)
 
-    def _tell_others(self) -> None:
-        """Tell the other ledgers what the hosts that report here do."""
+    def _send_sums_to_ledgers(self) -> None:
+        """Send the sums of the hosts that report here to the other ledgers."""
         now = self.clock.monotonic()
-        if now - self.ledger.heard_at > HEARD_SECONDS:
+        if now - self.ledger.heard_at > REPORT_VALID_SECONDS:
             return
-        known = self._known()
-        for region in sorted({entry.region for entry in known}):
+        candidates = self._candidate_hosts()
+        for region in sorted({entry.region for entry in candidates}):
             ranked = [
                 entry
-                for entry in self._ranked(region, known)
-                if self.failed_until.get(entry.peer_address, 0.0) <= now
+                for entry in self._ranked_hosts(region, candidates)
+                if self.skipped_until.get(entry.peer_address, 0.0) <= now
             ]
             if ranked and ranked[0].name != self.own.entry.name:
-                self._start(ranked[0].peer_address)
+                self._start_send(ranked[0].peer_address)
 
-    def _start(self, address: str) -> None:
-        """Tell one ledger, one message at a time."""
-        if address in self.sends:
+    def _start_send(self, address: str) -> None:
+        """Start sending sums to a ledger unless a send is in progress."""
+        if address in self.send_tasks:
             return
-        task = asyncio.create_task(self._async_tell(address))
-        self.sends[address] = task
-        task.add_done_callback(lambda _: self.sends.pop(address, None))
+        task = asyncio.create_task(self._async_send_sums(address))
+        self.send_tasks[address] = task
+        task.add_done_callback(lambda _: self.send_tasks.pop(address, None))
 
-    async def _async_tell(self, address: str) -> None:
-        """Send the sums that a ledger was not told; it keeps what it was told last."""
-        told = self.told_sums.setdefault(address, {})
+    async def _async_send_sums(self, address: str) -> None:
+        """Send the sums that changed since the ledger last acknowledged them."""
+        acknowledged = self.acknowledged_sums.setdefault(address, {})
         rows = [
             UsageRow(row.account, row.asked, row.admitted)
             for row in self.ledger.sums.values()
-            if told.get(row.account) != row.asked
+            if acknowledged.get(row.account) != row.asked
         ]
         report = UsageReport(
             self.own.entry.name,
@@ -289,4 +298,4 @@
             region=self.own.entry.region,
         )
         if await self._async_send(address, report) is not None:
-            told.update({row.account: row.asked for row in rows})
+            acknowledged.update({row.account: row.asked for row in rows})
--- a/packages/node/tests/test_gateway_directory.py
+++ b/packages/node/tests/test_gateway_directory.py
@@ -30,10 +30,10 @@
         own, *others = (entry(number) for number in range(hosts))
         self.table = HostTable(HostState(own, 1, 0, leaving=False), Lines())
         for other in others:
-            self.table.take_host(HostState(other, 1, 0, leaving=False), NOW)
+            self.table.apply_state(HostState(other, 1, 0, leaving=False), NOW)
 
-    def lose(self, number):
-        del self.table.heard[entry(number).name]
+    def remove(self, number):
+        del self.table.peers_by_name[entry(number).name]
 
 
 def entry(number):
@@ -72,7 +72,7 @@
     fleet = Fleet(100)
     lookups = directory(fleet)
     before = {caller: set(lookups.addresses("north", caller)) for caller in callers()}
-    fleet.lose(7)
+    fleet.remove(7)
     lost = entry(7).front_address
     for caller, named in before.items():
         after = set(lookups.addresses("north", caller))
--- a/packages/node/tests/test_gateway_gossip.py
+++ b/packages/node/tests/test_gateway_gossip.py
@@ -78,23 +78,23 @@
 async def test_a_host_that_the_store_turns_away_hears_of_changes_from_a_peer():
     # The store serves one host and turns another one away. A zone is evacuated; the
     # second host would send on to it for as long as the store does not let it in.
-    served, away = host("h1"), host("h2")
+    served, cut_off = host("h1"), host("h2")
     item = StoredItem("zone-a", b"", 7)
     served.view.apply(Changes((item,), 7), NOW)
-    await async_exchange(away, served)
-    assert away.view.revision == 7
-    assert "zone-a" in away.view.evacuated_at
+    await async_exchange(cut_off, served)
+    assert cut_off.view.revision == 7
+    assert "zone-a" in cut_off.view.evacuated_at
     served.view.apply(Changes((RemovedKey("zone-a", 9),), 9), NOW)
-    await async_exchange(away, served)
-    assert "zone-a" not in away.view.evacuated_at
-    assert len(away.events.of(Event.CONFIGURATION_FROM_PEER)) == 2
+    await async_exchange(cut_off, served)
+    assert "zone-a" not in cut_off.view.evacuated_at
+    assert len(cut_off.events.of(Event.CONFIGURATION_FROM_PEER)) == 2
 
 
 async def async_read_after_start(notifier):
     notifier.view.replace(Snapshot((StoredItem("zone-b", b"", 10),), 10), NOW)
 
 
-async def async_hear_from_a_peer(notifier):
+async def async_exchange_with_peer(notifier):
     peer = host("h3")
     await async_read_after_start(peer)
     await async_exchange(notifier, peer)
@@ -106,17 +106,17 @@
 
 
 @pytest.mark.parametrize(
-    "async_learn",
-    [async_read_after_start, async_hear_from_a_peer, async_read_after_lost_history],
+    "async_catch_up",
+    [async_read_after_start, async_exchange_with_peer, async_read_after_lost_history],
 )
-async def test_a_host_that_never_knew_a_key_does_not_hide_its_removal(async_learn):
+async def test_a_host_that_never_knew_a_key_does_not_hide_its_removal(async_catch_up):
     # A key is written and removed while a host restarts or has lost the history, so it
     # never hears of the key. A host that was cut off knows it and asks this one. Told
     # all items but not that there are no others, it would send callers to a server
     # that has left for as long as it runs.
     behind, notifier = host("h1"), host("h2")
     behind.view.replace(Snapshot((StoredItem("zone-a", b"", 7),), 7), NOW)
-    await async_learn(notifier)
+    await async_catch_up(notifier)
     await async_exchange(behind, notifier)
     assert behind.view.revision == 10
     assert set(behind.view.evacuated_at) == {"zone-b"}
@@ -194,14 +194,14 @@
     assert near.distances.farthest() == 0.0
     await async_exchange(near, far)
     for seconds in (0.3, 0.08, 0.2):
-        near.distances.note(near.table.region_of("h2:2"), seconds)
-    near.distances.note(near.table.region_of("unknown:2"), 9.0)
+        near.distances.record_exchange(near.table.region_of("h2:2"), seconds)
+    near.distances.record_exchange(near.table.region_of("unknown:2"), 9.0)
     assert near.distances.farthest() == 0.04
 
 
-def told(host, before):
+def encoded_update(host, before):
     """Return the news that a watcher sends after its view was at a revision."""
-    return encode(host.writer.message(before, []))
+    return encode(host.writer.create_message(before, []))
 
 
 async def test_news_of_the_watcher_arrives_at_once_and_keeps_others_from_asking():
@@ -211,7 +211,7 @@
     watcher.confirm(0, 0.0)
     other.is_watcher = False
     assert other.must_watch()
-    answer = await other.async_take_news(Request(told(watcher, 0)))
+    answer = await other.async_take_news(Request(encoded_update(watcher, 0)))
     assert answer.status == 204
     assert "zone-a" in other.view.evacuated_at
     assert not other.must_watch()
@@ -234,7 +234,7 @@
     watcher.view.apply(Changes((StoredItem("zone-a", b"", 7),), 7), NOW)
     watcher.view.apply(Changes((StoredItem("zone-b", b"", 9),), 9), NOW)
     watcher.confirm(7, 0.0)
-    await other.async_take_news(Request(told(watcher, 7)))
+    await other.async_take_news(Request(encoded_update(watcher, 7)))
     await asyncio.sleep(0)
     assert other.view.revision == 0
     assert other.must_watch()
@@ -248,7 +248,7 @@
     watcher, one, other = (host(name, clock) for name in ("h1", "h2", "h3"))
     one.is_watcher = other.is_watcher = False
     watcher.confirm(0, 0.0)
-    await one.async_take_news(Request(told(watcher, 0)))
+    await one.async_take_news(Request(encoded_update(watcher, 0)))
     for _ in range(4):
         watcher.clock.now += STALE_SECONDS / 3
         await async_exchange(other, one)
@@ -294,7 +294,7 @@
     await async_exchange(one, other)
     one.own.started, one.own.count = 2_000, 0
     await async_exchange(one, other)
-    assert other.table.heard["h1"].state.started == 5_000
+    assert other.table.peers_by_name["h1"].state.started == 5_000
     other.clock.now += ALIVE_SECONDS + 0.1
     await async_exchange(one, other)
     assert [state.started for state in other.table.alive(other.clock.now)][1:] == [
@@ -302,11 +302,11 @@
     ]
     # A third host still passes the ended lifetime on.
     third = host("h3")
-    third.table.heard["h1"] = HeardHost(
+    third.table.peers_by_name["h1"] = HeardHost(
         HostState(one.own.entry, 5_000, 9, False), other.clock.now, NOW
     )
     await async_exchange(other, third)
-    assert other.table.heard["h1"].state.started == 2_000
+    assert other.table.peers_by_name["h1"].state.started == 2_000
 
 
 async def test_addresses_are_sent_for_some_seconds_and_then_on_demand():
@@ -327,7 +327,7 @@
     assert late.table.lacks_addresses
     await async_exchange(late, first)
     assert not late.table.lacks_addresses
-    assert late.table.heard["h2"].state.entry.front_address == "h2:1"
+    assert late.table.peers_by_name["h2"].state.entry.front_address == "h2:1"
 
 
 async def test_a_dead_host_of_the_region_is_asked_less_often_than_a_live_one():
@@ -340,7 +340,7 @@
     await async_exchange(one, live)
     for row in (live, dead):
         one.view.hosts[row.own.entry.name] = row.own.entry
-    asked = [one._next_address() for _ in range(400)]
+    asked = [one._choose_peer() for _ in range(400)]
     assert asked.count("h3:2") < 0.15 * len(asked)
 
 
--- a/packages/node/tests/test_gateway_large_values.py
+++ b/packages/node/tests/test_gateway_large_values.py
@@ -28,7 +28,7 @@
 KEY = "op/config"
 VERSION = 8
 # Five times what a link of 5 Mbit/s needs for one copy of the value as it stands.
-PATIENCE_SECONDS = 8.0
+TRANSFER_TIMEOUT_SECONDS = 8.0
 
 
 class Peer:
@@ -52,15 +52,15 @@
         }
         return await answers[request.rel_url.raw_path](request)
 
-    def knows(self, version):
+    def has_version(self, version):
         routes = self.gossip.view.routes
         return routes is not None and routes.version == version
 
-    def hears_of(self, name, address):
+    def add_peer(self, name, address):
         entry = HostEntry(name, "north", "zone-a", f"{name}:1", address)
         now = self.gossip.clock.monotonic()
         state = HostState(entry, 1, 0, leaving=False)
-        self.gossip.table.heard[name] = HeardHost(state, now, now)
+        self.gossip.table.peers_by_name[name] = HeardHost(state, now, now)
 
 
 @contextlib.asynccontextmanager
@@ -86,11 +86,11 @@
         link = SlowLink(SLOW_BYTES_PER_SECOND)
         relay = Relay(notifier.entry.peer_address, back=link)
         await relay.async_open()
-        asker.hears_of("h0", relay.address)
+        asker.add_peer("h0", relay.address)
         asking = asyncio.create_task(asker.gossip.async_run())
         try:
-            async with asyncio.timeout(PATIENCE_SECONDS):
-                await async_until(lambda: asker.knows(VERSION))
+            async with asyncio.timeout(TRANSFER_TIMEOUT_SECONDS):
+                await async_until(lambda: asker.has_version(VERSION))
         finally:
             asking.cancel()
             await relay.async_cut()
@@ -111,12 +111,12 @@
         try:
             link.free_at = asyncio.get_running_loop().time() + 0.8
             await gossip._async_exchange(relay.address)
-            assert not asker.knows(VERSION), "a free link: the peer may be dead"
+            assert not asker.has_version(VERSION), "a free link: the peer may be dead"
             for _ in range(SAMPLES_MIN):
                 gossip.link.note(0.5, gossip.clock.monotonic())
             link.free_at = asyncio.get_running_loop().time() + 0.8
             await gossip._async_exchange(relay.address)
-            assert asker.knows(VERSION)
+            assert asker.has_version(VERSION)
         finally:
             await relay.async_cut()
 
@@ -130,13 +130,15 @@
         relays = [Relay(peer.entry.peer_address, there=link) for peer in others]
         for peer, relay in zip(others, relays, strict=True):
             await relay.async_open()
-            watcher.hears_of(peer.entry.name, relay.address)
+            watcher.add_peer(peer.entry.name, relay.address)
         item = StoredItem(KEY, configuration(VERSION), 7)
         watcher.gossip.view.apply(Changes((item,), 7), 0.0)
         watcher.gossip.confirm(0, 0.0)
         try:
-            async with asyncio.timeout(PATIENCE_SECONDS):
-                await async_until(lambda: all(peer.knows(VERSION) for peer in others))
+            async with asyncio.timeout(TRANSFER_TIMEOUT_SECONDS):
+                await async_until(
+                    lambda: all(peer.has_version(VERSION) for peer in others)
+                )
             sent = watcher.gossip.bytes["news", SENT]
             assert len(others) * 50_000 < sent < len(others) * 100_000
             assert others[0].gossip.bytes["news", RECEIVED] == sent / len(others)
@@ -154,19 +156,19 @@
         notifier.gossip.view.apply(Changes((item,), 7), 0.0)
         relay = Relay(notifier.entry.peer_address, back=SlowLink(30_000))
         await relay.async_open()
-        asker.hears_of("h0", relay.address)
+        asker.add_peer("h0", relay.address)
         first = asyncio.create_task(asker.gossip._async_exchange(relay.address))
         try:
-            await async_until(lambda: asker.gossip.asked_for_news_at is not None)
+            await async_until(lambda: asker.gossip.update_requested_at is not None)
             asker.gossip.own.count += 1
             await asker.gossip._async_exchange(notifier.entry.peer_address)
-            assert notifier.gossip.table.heard["h1"].state.count == 1
-            assert not asker.knows(VERSION)
+            assert notifier.gossip.table.peers_by_name["h1"].state.count == 1
+            assert not asker.has_version(VERSION)
             assert asker.gossip.view.revision == 0
             assert not first.done()
-            async with asyncio.timeout(PATIENCE_SECONDS):
+            async with asyncio.timeout(TRANSFER_TIMEOUT_SECONDS):
                 await first
-            assert asker.knows(VERSION)
+            assert asker.has_version(VERSION)
         finally:
             first.cancel()
             await relay.async_cut()
@@ -182,7 +184,7 @@
             for number in range(800)
         )
         watcher.gossip.view.apply(Changes(items, 800), 0.0)
-        watcher.hears_of("h1", other.entry.peer_address)
+        watcher.add_peer("h1", other.entry.peer_address)
         watcher.gossip.confirm(0, 0.0)
-        async with asyncio.timeout(PATIENCE_SECONDS):
+        async with asyncio.timeout(TRANSFER_TIMEOUT_SECONDS):
             await async_until(lambda: other.gossip.view.revision == 800)
--- a/packages/node/tests/test_gateway_peer_notifier.py
+++ b/packages/node/tests/test_gateway_peer_notifier.py
@@ -8,9 +8,9 @@
 from test_gateway_gossip import NOW, Request, host
 from test_gateway_large_values import async_peers
 
-from greengagepoint_node.gateway.delays import FLOOR_RISE_PER_SECOND, MessageDelays
+from greengagepoint_node.gateway.delays import OFFSET_RISE_PER_SECOND, MessageDelays
 from greengagepoint_node.gateway.facts import Changes, StoredItem
-from greengagepoint_node.gateway.gossip import NEWS_SECONDS
+from greengagepoint_node.gateway.gossip import UPDATE_WAIT_SECONDS
 from greengagepoint_node.gateway.gossip_messages import HostState, decode
 from greengagepoint_node.gateway.host_table import HeardHost
 from greengagepoint_node.gateway.peer_notifier import LARGE_SENDS_MAX, NOTIFY_SECONDS
@@ -19,7 +19,7 @@
 LARGE = random.Random(2).randbytes(60_000)
 
 
-class Sending:
+class PendingPost:
     """One message on its way; peers named dead never take it."""
 
     def __init__(self, session, url, data):
@@ -47,19 +47,19 @@
         self.sent = []
 
     def post(self, url, data, timeout):
-        return Sending(self, url, data)
+        return PendingPost(self, url, data)
 
 
-def watcher_of(*peers):
+def create_watcher(*peers):
     session = Session()
     watcher = host("w", session=session)
     for name in peers:
         state = HostState(host(name).own.entry, 1, 0, leaving=False)
-        watcher.table.heard[name] = HeardHost(state, NOW, NOW)
+        watcher.table.peers_by_name[name] = HeardHost(state, NOW, NOW)
     return watcher, session
 
 
-def learn(watcher, revision, before=0):
+def apply_large_value(watcher, revision, before=0):
     item = StoredItem("x", LARGE, revision)
     watcher.view.apply(Changes((item,), revision), NOW)
     watcher.confirm(before, 0.0)
@@ -69,14 +69,14 @@
     # A configuration is large, and the peers before this one are slow. What it is told
     # at last was true seconds ago: taken for fresh, routes that were added since would
     # be refused with 404.
-    watcher, session = watcher_of("p")
+    watcher, session = create_watcher("p")
     for _ in range(LARGE_SENDS_MAX):
-        await watcher.notifier.large_sends.acquire()
-    learn(watcher, 5)
+        await watcher.notifier.large_send_slots.acquire()
+    apply_large_value(watcher, 5)
     await asyncio.sleep(0)
     confirmed_at = watcher.ages.store_at
     watcher.clock.now += 5.0
-    watcher.notifier.large_sends.release()
+    watcher.notifier.large_send_slots.release()
     await async_until(lambda: len(session.sent) == 2)
     early, whole = session.sent
     assert decode(early).partial_after == 0
@@ -91,7 +91,7 @@
 async def test_what_is_to_be_told_as_a_send_ends_is_told_at_once():
     # A change is read in the very step in which the send before it has ended. Left for
     # the next change, the peer would hear of it a second later.
-    watcher, _ = watcher_of("p")
+    watcher, _ = create_watcher("p")
     notifier, sent = watcher.notifier, []
 
     async def async_send(address):
@@ -108,26 +108,26 @@
 async def test_peers_that_are_gone_do_not_keep_a_living_one_from_a_newer_version():
     # A zone is cut off with eight hosts, and two large versions follow each other. A
     # host that lives has to get the newer one, not the older one only.
-    watcher, session = watcher_of(*(f"dead{number}" for number in range(8)), "p")
-    learn(watcher, 5)
+    watcher, session = create_watcher(*(f"dead{number}" for number in range(8)), "p")
+    apply_large_value(watcher, 5)
     await asyncio.sleep(0.01)
-    learn(watcher, 6, before=5)
+    apply_large_value(watcher, 6, before=5)
     await async_until(lambda: session.sent)
     await async_until(lambda: decode(session.sent[-1]).revision == 6)
     for task in watcher.notifier.tasks.values():
         task.cancel()
 
 
-async def async_tell_beside_a_large_value(watcher, session):
+async def async_update_during_large_sends(watcher, session):
     """Let a configuration wait for dead peers, and a zone be emptied meanwhile."""
-    learn(watcher, 5)
+    apply_large_value(watcher, 5)
     await asyncio.sleep(0.01)
     watcher.view.apply(Changes((StoredItem("zone-a", b"", 6),), 6), NOW)
     watcher.confirm(5, 0.0)
     await asyncio.sleep(0.01)
     for task in [
         *watcher.notifier.tasks.values(),
-        *watcher.early_notifier.tasks.values(),
+        *watcher.partial_notifier.tasks.values(),
     ]:
         task.cancel()
     return session.sent
@@ -139,16 +139,16 @@
     # meantime was told of in the same message, so hosts that wait for their turn sent
     # callers there until it came.
     dead = [f"dead{number}" for number in range(LARGE_SENDS_MAX)]
-    watcher, session = watcher_of(*dead, "p")
+    watcher, session = create_watcher(*dead, "p")
     peer = host("p")
-    for body in await async_tell_beside_a_large_value(watcher, session):
+    for body in await async_update_during_large_sends(watcher, session):
         await peer.async_take_news(Request(body))
     assert peer.view.evacuated_at == {"zone-a": NOW}
     assert peer.ages.informed_at() == NOW
     # The large value is still to come: unknown paths may be known to others.
     assert peer.view.revision == 0
     assert not peer.ages.is_current()
-    assert not peer.under_way, "what is lacking is on its way already"
+    assert not peer.exchange_tasks, "what is lacking is on its way already"
     learned = watcher.encoded(0)
     peer.take_encoded(learned)
     assert peer.view.revision == 6
@@ -158,13 +158,15 @@
 async def test_word_that_was_missed_is_asked_for():
     # The first word beside a large value got lost. The next one does not hold it, so
     # the host must not take itself for informed.
-    watcher, session = watcher_of(*(f"dead{n}" for n in range(LARGE_SENDS_MAX)), "p")
+    watcher, session = create_watcher(
+        *(f"dead{n}" for n in range(LARGE_SENDS_MAX)), "p"
+    )
     peer = host("p", session=Session())
-    bodies = await async_tell_beside_a_large_value(watcher, session)
+    bodies = await async_update_during_large_sends(watcher, session)
     await peer.async_take_news(Request(bodies[-1]))
     assert peer.ages.informed_at() < NOW
-    assert set(peer.under_way) == {"w:2"}
-    for task in peer.under_way.values():
+    assert set(peer.exchange_tasks) == {"w:2"}
+    for task in peer.exchange_tasks.values():
         task.cancel()
 
 
@@ -176,7 +178,7 @@
         link = SlowLink(610_000)
         relay = Relay(peer.entry.peer_address, there=link)
         await relay.async_open()
-        watcher.hears_of("h1", relay.address)
+        watcher.add_peer("h1", relay.address)
         try:
             for _ in range(2):
                 watcher.gossip.confirm(0, 0.0)
@@ -194,7 +196,9 @@
             await relay.async_cut()
 
 
-@pytest.mark.parametrize(("seconds", "revision"), [(0.5, 0), (NEWS_SECONDS + 0.1, 7)])
+@pytest.mark.parametrize(
+    ("seconds", "revision"), [(0.5, 0), (UPDATE_WAIT_SECONDS + 0.1, 7)]
+)
 async def test_a_peer_that_trickles_keeps_others_from_telling_for_two_seconds_only(
     seconds, revision
 ):
@@ -202,7 +206,7 @@
     # for, no other peer was asked, and the host knew nothing of changes.
     async with async_peers(2) as (peer, asker):
         peer.gossip.view.apply(Changes((StoredItem("x", LARGE, 7),), 7), NOW)
-        asker.gossip.asked_for_news_at = asker.gossip.clock.monotonic() - seconds
+        asker.gossip.update_requested_at = asker.gossip.clock.monotonic() - seconds
         await asker.gossip._async_exchange(peer.entry.peer_address)
         assert asker.gossip.view.revision == revision
 
@@ -212,7 +216,7 @@
     [
         ([(1, 5.0, 105.0)], None),
         ([(1, 5.0, 105.0), (1, 6.0, 106.0)], 0.0),
-        ([(1, 5.0, 105.0), (1, 6.0, 108.0)], 2.0 - 3 * FLOOR_RISE_PER_SECOND),
+        ([(1, 5.0, 105.0), (1, 6.0, 108.0)], 2.0 - 3 * OFFSET_RISE_PER_SECOND),
         ([(1, 5.0, 105.0), (1, 6.0, 105.5), (1, 7.0, 107.0)], 0.5 - 0.075),
         ([(1, 5.0, 105.0), (2, 0.0, 106.0)], None),
         ([(1, 5.0, 105.0), (1, 5.0, 147.0), (1, 45.0, 147.1)], 0.0),
@@ -222,13 +226,13 @@
 def test_a_message_is_compared_with_the_quickest_of_its_sender(messages, delay):
     delays = MessageDelays()
     for started, sent_at, now in messages:
-        found = delays.note("h1", started, sent_at, now)
+        found = delays.record_message("h1", started, sent_at, now)
     assert found == (None if delay is None else pytest.approx(delay))
 
 
 def test_delays_of_peers_that_are_gone_are_forgotten():
     delays = MessageDelays()
-    delays.note("h1", 1, 0.0, 0.0)
-    delays.note("h2", 1, 0.0, 0.0)
-    delays.keep({"h2"})
+    delays.record_message("h1", 1, 0.0, 0.0)
+    delays.record_message("h2", 1, 0.0, 0.0)
+    delays.retain({"h2"})
     assert set(delays.quickest) == {"h2"}
--- a/packages/node/tests/test_gateway_relayed_news.py
+++ b/packages/node/tests/test_gateway_relayed_news.py
@@ -53,13 +53,15 @@
             for other in self.hosts.values():
                 if other is not one:
                     state = HostState(other.own.entry, 1, 0, leaving=False)
-                    one.table.heard[other.own.entry.name] = HeardHost(state, NOW, NOW)
+                    one.table.peers_by_name[other.own.entry.name] = HeardHost(
+                        state, NOW, NOW
+                    )
 
     def post(self, url, data, **_):
         assert url.endswith(NEWS_PATH)
         return Answer(self, url, data)
 
-    def learn(self, name, before, revision):
+    def apply_change(self, name, before, revision):
         watcher = self.hosts[name]
         item = StoredItem("zone-a", b"", revision)
         watcher.view.apply(Changes((item,), revision), NOW)
@@ -73,11 +75,11 @@
 async def test_all_hosts_hear_of_a_change_though_some_that_pass_it_on_are_gone(lost):
     """Guards against a part of a region that goes on with old news."""
     region = Region()
-    region.learn("h0", 0, 5)
+    region.apply_change("h0", 0, 5)
     await async_until(lambda: len(region.informed()) == HOSTS)
     relays = region.messages[:lost]
     region = Region(dead=relays)
-    region.learn("h0", 0, 5)
+    region.apply_change("h0", 0, 5)
     await async_until(lambda: len(region.informed()) == HOSTS - len(relays))
     assert not set(relays) & set(region.informed())
 
@@ -87,14 +89,14 @@
     region = Region()
     for one in region.hosts.values():
         one.view.apply(Changes((StoredItem("zone-b", b"", 2),), 2), NOW)
-    region.learn("h0", 2, 5)
+    region.apply_change("h0", 2, 5)
     await async_until(lambda: len(region.informed()) == HOSTS)
     relay = region.messages[0]
     region = Region()
     for name, one in region.hosts.items():
         if name != relay:
             one.view.apply(Changes((StoredItem("zone-b", b"", 2),), 2), NOW)
-    region.learn("h0", 2, 5)
+    region.apply_change("h0", 2, 5)
     await async_until(lambda: len(region.informed()) >= HOSTS - 1)
 
 
@@ -105,7 +107,7 @@
     region.hosts["h0"].notifier.notify = lambda *words: (
         sent.append(words) or notify(*words)
     )
-    region.learn("h0", 0, 5)
+    region.apply_change("h0", 0, 5)
     await async_until(lambda: len(region.informed()) == HOSTS)
     assert len(sent) <= 1.2 * HOSTS**0.5
     assert len(region.messages) == HOSTS - 1
--- a/packages/node/tests/test_gateway_transfer.py
+++ b/packages/node/tests/test_gateway_transfer.py
@@ -7,7 +7,7 @@
 from greengagepoint_node.gateway import transfer
 
 
-class Pieces:
+class PausingReader:
     """Give pieces after pauses, on a clock that is moved by hand."""
 
     def __init__(self, loop_time, *rows):
@@ -47,7 +47,7 @@
     now = [0.0]
     monkeypatch.setattr(asyncio.get_running_loop(), "time", lambda: now[0])
     limit = Limit()
-    data = await transfer.async_read_answer(Pieces(now, *rows), limit, 0.6)
+    data = await transfer.async_read_answer(PausingReader(now, *rows), limit, 0.6)
     assert data == b"".join(piece for _, piece in rows)
     assert limit.times == pytest.approx(times)
 
@@ -55,7 +55,7 @@
 async def test_a_transfer_that_stands_still_ends():
     # A link goes silent in the middle of an answer: without an end the host would never
     # ask anybody else, and its callers would be served by an old configuration.
-    content = Pieces([0.0], (0.0, b"a"))
+    content = PausingReader([0.0], (0.0, b"a"))
     content.readany_once = content.readany
 
     async def stand_still():
