--- a/packages/node/tests/test_gateway_directory.py
+++ b/packages/node/tests/test_gateway_directory.py
@@ -1,4 +1,4 @@
-"""Look-ups in regions with more hosts than one answer may name."""
+"""Look-ups in regions with more hosts than one answer may list."""
 
 from collections import Counter
 
@@ -17,14 +17,14 @@
 
 
 class Clock(SystemClock):
-    """Stand still."""
+    """A clock that stands still."""
 
     def monotonic(self):
         return NOW
 
 
 class Fleet:
-    """Hosts of one region that have all been heard of."""
+    """The hosts of one region, all alive."""
 
     def __init__(self, hosts):
         own, *others = (entry(number) for number in range(hosts))
@@ -51,9 +51,8 @@
 
 @pytest.mark.parametrize("hosts", [65, 100, 327])
 def test_all_hosts_of_a_region_get_callers(hosts):
-    # A region has more hosts than one answer may name. Were all callers told the same
-    # ones, the others would idle beside them, and the busy ones would refuse callers
-    # whom these could serve.
+    # A region has more hosts than one answer may list. If all callers got the same
+    # ones, these would reject callers whom the idle other hosts could serve.
     lookups = directory(Fleet(hosts))
     answers = [lookups.addresses("north", caller) for caller in callers()]
     assert {len(answer) for answer in answers} == {ADDRESSES_MAX}
@@ -66,9 +65,9 @@
     assert max(named.values()) < CALLERS * part + spread
 
 
-def test_a_caller_is_told_the_same_hosts_while_they_live():
-    # Callers close their connections to hosts that a new answer leaves out, so a host
-    # that is lost must not change who else is named.
+def test_a_caller_gets_the_same_hosts_while_they_are_alive():
+    # Callers close their connections to hosts that a new answer leaves out, so the loss
+    # of a host must not change which other hosts are listed.
     fleet = Fleet(100)
     lookups = directory(fleet)
     before = {caller: set(lookups.addresses("north", caller)) for caller in callers()}
@@ -80,7 +79,7 @@
         assert len(after - named) == (lost in named)
 
 
-def test_a_small_region_is_named_whole_to_everybody():
+def test_all_callers_get_all_hosts_of_a_small_region():
     lookups = directory(Fleet(ADDRESSES_MAX))
     answers = {tuple(lookups.addresses("north", caller)) for caller in callers()}
     assert len(answers) == 1
--- a/packages/node/tests/test_gateway_gossip.py
+++ b/packages/node/tests/test_gateway_gossip.py
@@ -1,4 +1,4 @@
-"""News between hosts while the store, a link or a peer is out of order."""
+"""Exchanges between hosts while the store, a link or a peer fails."""
 
 import asyncio
 import random
@@ -33,7 +33,7 @@
 
 
 class Clock(SystemClock):
-    """Stand still."""
+    """A clock that stands still until a test sets it."""
 
     now = NOW
 
@@ -42,7 +42,7 @@
 
 
 class Request:
-    """A peer's half of an exchange, as the server would read it."""
+    """A request with a peer's message as its body."""
 
     def __init__(self, body):
         self.body = body
@@ -66,7 +66,7 @@
 
 
 async def async_exchange(one, other):
-    """Let one host exchange with another, without a network."""
+    """Run one exchange between two hosts without a network."""
     one.own.count += 1
     half = one.encoded(one.view.revision)
     one.table.lacks_addresses = False
@@ -75,9 +75,9 @@
     one.take_encoded(answer.body)
 
 
-async def test_a_host_that_the_store_turns_away_hears_of_changes_from_a_peer():
-    # The store serves one host and turns another one away. A zone is evacuated; the
-    # second host would send on to it for as long as the store does not let it in.
+async def test_a_host_that_the_store_rejects_gets_changes_from_a_peer():
+    # The store serves one host and rejects another one. A zone is evacuated; without
+    # its peer, the second host would send requests there while the store rejects it.
     served, cut_off = host("h1"), host("h2")
     item = StoredItem("zone-a", b"", 7)
     served.view.apply(Changes((item,), 7), NOW)
@@ -90,39 +90,39 @@
     assert len(cut_off.events.of(Event.CONFIGURATION_FROM_PEER)) == 2
 
 
-async def async_read_after_start(notifier):
-    notifier.view.replace(Snapshot((StoredItem("zone-b", b"", 10),), 10), NOW)
+async def async_read_after_start(responder):
+    responder.view.replace(Snapshot((StoredItem("zone-b", b"", 10),), 10), NOW)
 
 
-async def async_exchange_with_peer(notifier):
+async def async_exchange_with_peer(responder):
     peer = host("h3")
     await async_read_after_start(peer)
-    await async_exchange(notifier, peer)
+    await async_exchange(responder, peer)
 
 
-async def async_read_after_lost_history(notifier):
-    notifier.view.replace(Snapshot((StoredItem("zone-c", b"", 5),), 5), NOW)
-    await async_read_after_start(notifier)
+async def async_read_after_lost_history(responder):
+    responder.view.replace(Snapshot((StoredItem("zone-c", b"", 5),), 5), NOW)
+    await async_read_after_start(responder)
 
 
 @pytest.mark.parametrize(
     "async_catch_up",
     [async_read_after_start, async_exchange_with_peer, async_read_after_lost_history],
 )
-async def test_a_host_that_never_knew_a_key_does_not_hide_its_removal(async_catch_up):
-    # A key is written and removed while a host restarts or has lost the history, so it
-    # never hears of the key. A host that was cut off knows it and asks this one. Told
-    # all items but not that there are no others, it would send callers to a server
-    # that has left for as long as it runs.
-    behind, notifier = host("h1"), host("h2")
+async def test_a_host_that_never_had_a_key_does_not_hide_its_removal(async_catch_up):
+    # A key is written and removed while a host restarts or lacks the history, so it
+    # never gets the key. A host that was cut off has the key and asks this one. If the
+    # answer listed all items without saying that it is complete, that host would send
+    # callers to a server that left for as long as it runs.
+    behind, responder = host("h1"), host("h2")
     behind.view.replace(Snapshot((StoredItem("zone-a", b"", 7),), 7), NOW)
-    await async_catch_up(notifier)
-    await async_exchange(behind, notifier)
+    await async_catch_up(responder)
+    await async_exchange(behind, responder)
     assert behind.view.revision == 10
     assert set(behind.view.evacuated_at) == {"zone-b"}
 
 
-async def test_news_of_hosts_travels_through_others():
+async def test_host_states_are_passed_on_by_peers():
     first, middle, last = host("h1"), host("h2"), host("h3")
     await async_exchange(first, middle)
     await async_exchange(last, middle)
@@ -133,7 +133,7 @@
     ("seconds", "leaving", "named"),
     [(0.0, False, True), (3.0, False, True), (4.0, False, False), (0.0, True, False)],
 )
-async def test_a_dead_or_leaving_host_is_named_no_more(seconds, leaving, named):
+async def test_a_dead_or_leaving_host_is_not_listed(seconds, leaving, named):
     clock = Clock()
     one, other = host("h1", clock), host("h2")
     other.own.leaving = leaving
@@ -142,7 +142,7 @@
     assert ("h2" in {row.entry.name for row in one.table.alive(clock.now)}) is named
 
 
-async def test_older_news_of_a_host_does_not_win():
+async def test_an_older_state_of_a_host_is_ignored():
     one, other, third = host("h1"), host("h2"), host("h3")
     await async_exchange(third, other)
     other.own.leaving = True
@@ -152,7 +152,7 @@
     assert {row.entry.name for row in one.table.alive(NOW)} == {"h1", "h3"}
 
 
-async def test_garbage_from_a_peer_is_refused():
+async def test_an_invalid_message_from_a_peer_is_rejected():
     one = host("h1")
     answer = await one.async_answer(Request(b"garbage"))
     assert answer.status == 400
@@ -160,9 +160,8 @@
 
 
 async def test_each_exchange_opens_a_connection_of_its_own():
-    # A link was cut and has healed. Kept connections over it stand still for good while
-    # new ones work; a host that went on with them would hear of nothing for as long as
-    # it takes to try all its peers.
+    # After a network partition heals, kept connections stall forever while new ones
+    # work. A host that reused them would get no updates until it had tried all peers.
     peer, transports = host("h2"), []
 
     async def async_answer(request):
@@ -186,9 +185,9 @@
     await runner.cleanup()
 
 
-async def test_the_shortest_exchange_tells_how_far_a_region_is():
-    # Peers are busy at times and answer late; taken for distance, that would make keys
-    # change their region, and run cold there, whenever a peer is busy.
+async def test_the_shortest_exchange_gives_the_round_trip_to_a_region():
+    # Busy peers answer late. If that counted as distance, keys would move to another
+    # region, and run cold there, whenever a peer is busy.
     near, far = host("h1"), host("h2")
     far.own.entry = HostEntry("h2", "south", "zone-b", "h2:1", "h2:2")
     assert near.distances.farthest() == 0.0
@@ -200,11 +199,11 @@
 
 
 def encoded_update(host, before):
-    """Return the news that a watcher sends after its view was at a revision."""
+    """Return the update that a watcher sends to peers at a revision."""
     return encode(host.writer.create_message(before, []))
 
 
-async def test_news_of_the_watcher_arrives_at_once_and_keeps_others_from_asking():
+async def test_an_update_of_the_watcher_applies_at_once_and_spares_watching_the_store():
     watcher, other = host("h1"), host("h2", Clock())
     item = StoredItem("zone-a", b"", 7)
     watcher.view.apply(Changes((item,), 7), NOW)
@@ -215,14 +214,14 @@
     assert answer.status == 204
     assert "zone-a" in other.view.evacuated_at
     assert not other.must_watch()
-    # Nothing comes any more: the watcher is dead, cut off or slow.
+    # No more updates arrive: the watcher is dead, cut off or slow.
     other.clock.now += STALE_SECONDS + 0.1
     assert other.must_watch()
 
 
-async def test_a_host_that_missed_news_asks_its_sender():
-    # The news of revision 7 was lost on its way; that of 9 says nothing of zone-a, and
-    # a host that took it for complete would send on to the evacuated zone.
+async def test_a_host_that_missed_an_update_asks_its_sender():
+    # The update of revision 7 was lost; that of revision 9 does not include zone-a. A
+    # host that took it for complete would send requests to the evacuated zone.
     watcher, other = host("h1"), host("h2")
     asked = []
 
@@ -241,9 +240,10 @@
     assert asked == ["h1:2"]
 
 
-async def test_what_is_passed_on_keeps_its_age():
-    # The watcher is gone. Two hosts that tell each other how new their news is must not
-    # take each other's word for the store's, or neither would ever ask again.
+async def test_an_exchange_keeps_the_age_of_a_view():
+    # The watcher is dead. Two hosts that exchange the ages of their views must not
+    # count each other's view as fresh from the store, or neither would ever read the
+    # store.
     clock = Clock()
     watcher, one, other = (host(name, clock) for name in ("h1", "h2", "h3"))
     one.is_watcher = other.is_watcher = False
@@ -257,7 +257,7 @@
     assert other.must_watch()
 
 
-async def test_a_watcher_tells_each_host_of_its_region_one_thing_at_a_time():
+async def test_a_watcher_sends_each_host_of_its_region_one_message_at_a_time():
     watcher, near, far = host("h1"), host("h2"), host("h3")
     far.own.entry = HostEntry("h3", "south", "zone-b", "h3:1", "h3:2")
     for each in (near, far):
@@ -275,7 +275,7 @@
     watcher.notifier.async_send = async_send
     watcher.confirm(3, 0.0)
     await asyncio.sleep(0)
-    # What comes while a send is under way goes with the next one, and only once.
+    # Changes that arrive during a send go with the next one, and only once.
     watcher.confirm(5, 0.0)
     watcher.confirm(4, 0.0)
     await asyncio.sleep(0.05)
@@ -285,10 +285,10 @@
     assert sent == [("h2:2", 3), ("h2:2", 4)]
 
 
-async def test_a_host_that_starts_again_after_its_clock_went_back_is_heard():
-    # The time of day jumps back on a host, and its process starts again. Its new
-    # lifetime looks older than the one before; peers that kept to the later start would
-    # not name the host to callers for as long as the clock is behind.
+async def test_a_host_that_restarts_after_its_clock_went_back_is_listed():
+    # A host's clock jumps back and its process restarts. The new incarnation seems
+    # older than the previous one. Peers that kept the later start time would not list
+    # the host for callers while its clock is behind.
     one, other = host("h1"), host("h2")
     one.own.started = 5_000
     await async_exchange(one, other)
@@ -300,7 +300,7 @@
     assert [state.started for state in other.table.alive(other.clock.now)][1:] == [
         2_000
     ]
-    # A third host still passes the ended lifetime on.
+    # A third host still passes the ended incarnation on.
     third = host("h3")
     third.table.peers_by_name["h1"] = HeardHost(
         HostState(one.own.entry, 5_000, 9, False), other.clock.now, NOW
@@ -310,9 +310,9 @@
 
 
 async def test_addresses_are_sent_for_some_seconds_and_then_on_demand():
-    # A host's state is passed on twice a second by everybody; its addresses were most
-    # of these bytes. A host that starts later and can't reach the store still has to
-    # learn them, or it would name only itself to callers.
+    # Every host passes each host's state on twice a second, and its addresses would be
+    # most of the bytes. A host that starts later and can't reach the store still has to
+    # get them, or it would list only itself for callers.
     first, second, late = host("h1"), host("h2"), host("h3")
     clock = first.clock
     second.clock = late.clock = clock
@@ -331,8 +331,8 @@
 
 
 async def test_a_dead_host_of_the_region_is_asked_less_often_than_a_live_one():
-    # A host was killed and its entry stands in the store until its lease ends. Each
-    # exchange with it lasts until it times out, and no news comes meanwhile.
+    # A host was killed, and its entry stays in the store until its lease expires. Each
+    # exchange with it lasts until its timeout, and brings no updates.
     clock = Clock()
     one, live, dead = host("h1", clock), host("h2"), host("h3")
     await async_exchange(one, dead)
@@ -344,17 +344,17 @@
     assert asked.count("h3:2") < 0.15 * len(asked)
 
 
-async def test_a_host_that_was_behind_does_not_hide_a_removal_that_it_heard_of():
-    # A server comes and leaves again while a second host misses both. A third one knows
-    # the server and was cut off as it left. The second one is told of the removal, but
-    # never knew the server; asked by the third, it has to tell of it all the same, or
-    # callers go on being sent to a server that left.
+async def test_a_host_that_was_behind_does_not_hide_a_removal_that_it_received():
+    # A server joins and leaves while a second host misses both. A third host has the
+    # server and was cut off when it left. The second host gets the removal without ever
+    # having had the server. It still has to pass the removal on to the third host,
+    # which would otherwise keep sending callers to a server that left.
     first, second, third = host("h1"), host("h2"), host("h3")
     for behind in (first, second, third):
         behind.view.replace(Snapshot((StoredItem("zone-b", b"", 3),), 5), NOW)
     item = StoredItem("zone-a", b"", 6)
-    for told in (first, third):
-        told.view.apply(Changes((item,), 6), NOW)
+    for informed in (first, third):
+        informed.view.apply(Changes((item,), 6), NOW)
     first.view.apply(Changes((RemovedKey("zone-a", 7),), 7), NOW)
     await async_exchange(second, first)
     await async_exchange(third, second)
@@ -362,10 +362,11 @@
     assert "zone-a" not in third.view.evacuated_at
 
 
-async def test_news_is_as_old_as_the_answer_that_brought_it():
-    # The watcher's link carries a large answer of the store for seconds. Newer changes
-    # may have come meanwhile; told that its news is fresh, the other hosts would not
-    # ask and would answer 404 on routes that were added in that time.
+async def test_a_view_is_as_old_as_the_answer_that_it_came_from():
+    # A large answer of the store takes seconds on the watcher's link, and newer changes
+    # may follow meanwhile. If the watcher's view counted as fresh, the other hosts
+    # would not read the store, and would answer 404 on routes that were added in that
+    # time.
     watcher, other = host("h1"), host("h2")
     watcher.is_watcher = False
     watcher.confirm(0, 2.5)
@@ -375,11 +376,11 @@
     assert other.must_watch()
 
 
-async def test_a_doubt_about_a_removal_ends_for_all_hosts_at_once():
-    # The store returns from an outage, and a host reads that a server's entry is gone.
-    # It doubts that for two seconds, as live servers write theirs again by then, and
-    # tells the others so. Each of them doubted for two seconds from when it heard, and
-    # the third host sent callers to a server that is gone for 3.9 s.
+async def test_an_unconfirmed_removal_takes_effect_on_all_hosts_at_once():
+    # After a store outage a host reads that a server's entry was removed. The removal
+    # stays unconfirmed for two seconds, as live servers write their entries again
+    # within that time. If each peer waited two seconds from when it received the
+    # removal, the third host would send callers to a server that left for 3.9 s.
     clock = Clock()
     hosts = [host(f"h{number}", clock) for number in range(3)]
     for one in hosts:
--- a/packages/node/tests/test_gateway_large_values.py
+++ b/packages/node/tests/test_gateway_large_values.py
@@ -1,4 +1,4 @@
-"""A value of nearly a megabyte on its way to hosts with links of 5 Mbit/s."""
+"""Transfers of a value of nearly a megabyte to hosts with links of 5 Mbit/s."""
 
 import asyncio
 import contextlib
@@ -27,12 +27,12 @@
 )
 KEY = "op/config"
 VERSION = 8
-# Five times what a link of 5 Mbit/s needs for one copy of the value as it stands.
+# Five times what a link of 5 Mbit/s needs for one uncompressed copy of the value.
 TRANSFER_TIMEOUT_SECONDS = 8.0
 
 
 class Peer:
-    """One host's news, on an address of its own."""
+    """A host's gossip, listening on an address of its own."""
 
     def __init__(self, name):
         self.entry = HostEntry(name, "north", "zone-a", f"{name}:1", free_address())
@@ -76,15 +76,15 @@
             await peer.gossip.session.close()
 
 
-async def test_a_host_on_a_slow_link_hears_of_a_large_configuration_from_a_peer():
-    # Operators add thousands of routes. A host whose link carries 5 Mbit/s asks a peer,
-    # and its callers get 404 on each new route until the value has come. One copy takes
-    # longer than the host waits for a peer, so it was thrown away and begun again.
-    async with async_peers(2) as (notifier, asker):
+async def test_a_host_on_a_slow_link_gets_a_large_configuration_from_a_peer():
+    # Operators add thousands of routes. A host with a link of 5 Mbit/s asks a peer, and
+    # answers 404 on each new route until the value arrives. One copy takes longer than
+    # the timeout for a peer; if that applied, the transfer would restart forever.
+    async with async_peers(2) as (responder, asker):
         item = StoredItem(KEY, configuration(VERSION), 7)
-        notifier.gossip.view.apply(Changes((item,), 7), 0.0)
+        responder.gossip.view.apply(Changes((item,), 7), 0.0)
         link = SlowLink(SLOW_BYTES_PER_SECOND)
-        relay = Relay(notifier.entry.peer_address, back=link)
+        relay = Relay(responder.entry.peer_address, back=link)
         await relay.async_open()
         asker.add_peer("h0", relay.address)
         asking = asyncio.create_task(asker.gossip.async_run())
@@ -96,22 +96,24 @@
             await relay.async_cut()
 
 
-async def test_a_host_on_a_full_link_waits_for_what_a_peer_tells():
-    # A host's link is full of answers: what a peer writes comes 0.8 s later. Each
-    # exchange was given up after 0.6 s, as one with a dead peer, and begun anew with
-    # another one, nine times in 3.3 s. Meanwhile the host sent callers to servers that
-    # had left.
-    async with async_peers(2) as (notifier, asker):
+async def test_a_host_on_a_saturated_link_waits_for_an_answer_of_a_peer():
+    # A host's link is saturated with answers, so a peer's message arrives 0.8 s late.
+    # If each exchange timed out after 0.6 s, as with a dead peer, and started again
+    # with another one, nine would fail in 3.3 s. Meanwhile the host would send callers
+    # to servers that left.
+    async with async_peers(2) as (responder, asker):
         item = StoredItem(KEY, configuration(VERSION, 10), 7)
-        notifier.gossip.view.apply(Changes((item,), 7), 0.0)
+        responder.gossip.view.apply(Changes((item,), 7), 0.0)
         link = SlowLink(SLOW_BYTES_PER_SECOND)
-        relay = Relay(notifier.entry.peer_address, back=link)
+        relay = Relay(responder.entry.peer_address, back=link)
         await relay.async_open()
         gossip = asker.gossip
         try:
             link.free_at = asyncio.get_running_loop().time() + 0.8
             await gossip._async_exchange(relay.address)
-            assert not asker.has_version(VERSION), "a free link: the peer may be dead"
+            assert not asker.has_version(VERSION), (
+                "on a free link the exchange must time out"
+            )
             for _ in range(SAMPLES_MIN):
                 gossip.link.note(0.5, gossip.clock.monotonic())
             link.free_at = asyncio.get_running_loop().time() + 0.8
@@ -121,10 +123,10 @@
             await relay.async_cut()
 
 
-async def test_a_watcher_on_a_slow_link_tells_its_region_of_a_large_configuration():
+async def test_a_watcher_on_a_slow_link_sends_its_region_a_large_configuration():
     # The host that watches the store for its region has a link of 5 Mbit/s. It reads a
-    # large configuration and tells ten hosts at once. Ten whole copies take far longer
-    # than it waits for each of them, so none came through and its link stood still.
+    # large configuration and notifies ten hosts at once. Ten uncompressed copies take
+    # far longer than the timeout of each, so none would arrive.
     async with async_peers(11) as (watcher, *others):
         link = SlowLink(SLOW_BYTES_PER_SECOND)
         relays = [Relay(peer.entry.peer_address, there=link) for peer in others]
@@ -147,22 +149,22 @@
                 await relay.async_cut()
 
 
-async def test_a_host_that_reads_a_large_value_stays_alive_for_the_others():
-    # A large value comes over a link that is slower still, which takes seconds. Were
-    # the host's heartbeat to wait for it, the others would take the host for dead and
-    # name it to no caller; were each exchange to ask for the value, none would end.
-    async with async_peers(2) as (notifier, asker):
+async def test_a_host_that_receives_a_large_value_stays_alive_for_its_peers():
+    # A large value arrives over an even slower link, which takes seconds. If the host's
+    # heartbeat waited for it, peers would count the host as dead and not list it for
+    # callers. If each exchange asked for the value, none would complete.
+    async with async_peers(2) as (responder, asker):
         item = StoredItem(KEY, configuration(VERSION), 7)
-        notifier.gossip.view.apply(Changes((item,), 7), 0.0)
-        relay = Relay(notifier.entry.peer_address, back=SlowLink(30_000))
+        responder.gossip.view.apply(Changes((item,), 7), 0.0)
+        relay = Relay(responder.entry.peer_address, back=SlowLink(30_000))
         await relay.async_open()
         asker.add_peer("h0", relay.address)
         first = asyncio.create_task(asker.gossip._async_exchange(relay.address))
         try:
             await async_until(lambda: asker.gossip.update_requested_at is not None)
             asker.gossip.own.count += 1
-            await asker.gossip._async_exchange(notifier.entry.peer_address)
-            assert notifier.gossip.table.peers_by_name["h1"].state.count == 1
+            await asker.gossip._async_exchange(responder.entry.peer_address)
+            assert responder.gossip.table.peers_by_name["h1"].state.count == 1
             assert not asker.has_version(VERSION)
             assert asker.gossip.view.revision == 0
             assert not first.done()
@@ -174,10 +176,10 @@
             await relay.async_cut()
 
 
-async def test_a_host_that_is_behind_learns_more_than_a_megabyte_at_once():
-    # A host was cut off while thousands of servers came. All of them in one message are
-    # more than the server's usual bound on a body; refused, the host would hear nothing
-    # of its watcher from then on.
+async def test_a_host_that_is_behind_accepts_more_than_a_megabyte_at_once():
+    # A host was cut off while thousands of servers joined. One message with all of them
+    # exceeds the server's usual limit for a body; if it were rejected, the host would
+    # get no more updates from its watcher.
     async with async_peers(2) as (watcher, other):
         items = tuple(
             StoredItem(f"other/{number}", bytes(1_500), number + 1)
--- a/packages/node/tests/test_gateway_messages.py
+++ b/packages/node/tests/test_gateway_messages.py
@@ -1,4 +1,4 @@
-"""Check how messages between hosts are written, and that spoilt ones are refused."""
+"""Encoding of messages between hosts, and rejection of invalid ones."""
 
 import zlib
 
@@ -29,11 +29,11 @@
 
 
 @pytest.mark.parametrize("hosts", [0, 1, 30, 300, 3000])
-def test_messages_of_any_size_come_back_as_they_were(hosts):
+def test_messages_of_any_size_survive_encoding(hosts):
     assert decode(encode(message(hosts))) == message(hosts)
 
 
-def test_a_large_table_takes_less_than_half_of_its_bytes():
+def test_a_large_table_is_deflated_to_less_than_half():
     assert len(encode(message(300))) < 0.5 * len(ENCODER.encode(message(300)))
 
 
@@ -49,6 +49,6 @@
     ],
     ids=["empty", "mark", "garbage", "nothing", "cut", "too long"],
 )
-def test_a_message_that_can_not_be_read_is_refused(body):
+def test_an_invalid_message_is_rejected(body):
     with pytest.raises(msgspec.MsgspecError):
         decode(body)
--- a/packages/node/tests/test_gateway_packing.py
+++ b/packages/node/tests/test_gateway_packing.py
@@ -1,4 +1,4 @@
-"""Values packed for their way between hosts, and what can't be unpacked."""
+"""Compression of values between hosts, and rejection of broken ones."""
 
 import zlib
 
@@ -22,7 +22,7 @@
 
 
 def test_a_large_configuration_takes_a_tenth_of_its_size():
-    # 848 KB of 4,200 routes as they stand, 58 KB packed: 0.1 s in place of 1.4 s on a
+    # 848 KB of 4,200 routes compress to 58 KB, which take 0.1 s instead of 1.4 s on a
     # link of 5 Mbit/s.
     item = StoredItem("config", configuration(3), 1)
     assert len(ItemPacker().pack(item).value) < len(item.value) / 10
@@ -35,15 +35,16 @@
     assert packer.pack(item._replace(revision=2)).revision == 2
 
 
-def test_what_came_packed_is_passed_on_as_it_came():
+def test_a_received_packed_value_is_passed_on_unchanged():
     sent = ItemPacker().pack(StoredItem("config", b"x" * 10_000, 1))
     packer = ItemPacker()
     assert packer.pack(packer.unpack(sent)) is sent
 
 
-def test_a_host_of_the_former_version_reads_small_items_only():
-    # A fleet is upgraded host by host. A former host that refused each message with an
-    # item would drop heartbeats with it, and take the new hosts for dead.
+def test_a_host_of_the_previous_version_reads_small_items_only():
+    # A fleet is upgraded host by host. If a host of the previous version rejected every
+    # message with an item, it would lose the heartbeats in them and count the new hosts
+    # as dead.
     small = msgspec.msgpack.encode(ItemPacker().pack(StoredItem("key", b"x", 5)))
     assert msgspec.msgpack.decode(small, type=StoredItem) == ("key", b"x", 5)
     large = ItemPacker().pack(StoredItem("key", b"x" * 10_000, 5))
@@ -51,7 +52,7 @@
         msgspec.msgpack.decode(msgspec.msgpack.encode(large), type=StoredItem)
 
 
-def test_packed_values_that_are_kept_have_a_bound():
+def test_the_cache_of_packed_values_is_bounded():
     packer = ItemPacker()
     for number in range(2 * packing.CACHED_MAX):
         packer.pack(StoredItem(str(number), b"x" * 10_000, 1))
@@ -64,8 +65,8 @@
 @pytest.mark.parametrize(
     "value",
     [b"", b"no stream", WHOLE[:-1], zlib.compress(bytes(packing.VALUE_BYTES_MAX + 1))],
-    ids=["empty", "other bytes", "cut short", "too long"],
+    ids=["empty", "not deflated", "truncated", "too long"],
 )
-def test_a_value_that_cannot_be_unpacked_is_refused(value):
+def test_a_broken_packed_value_is_rejected(value):
     with pytest.raises(msgspec.ValidationError, match="config"):
         ItemPacker().unpack(PackedItem("config", value, 1, packed=True))
--- a/packages/node/tests/test_gateway_peer_notifier.py
+++ b/packages/node/tests/test_gateway_peer_notifier.py
@@ -1,4 +1,4 @@
-"""News for many peers, of which some are gone, slow or behind a full link."""
+"""Updates for many peers, some of them dead, slow or behind a saturated link."""
 
 import asyncio
 import random
@@ -20,7 +20,7 @@
 
 
 class PendingPost:
-    """One message on its way; peers named dead never take it."""
+    """One message being sent; peers named dead never accept it."""
 
     def __init__(self, session, url, data):
         self.session = session
@@ -41,7 +41,7 @@
 
 
 class Session:
-    """Keep what peers took."""
+    """Record the messages that peers accept."""
 
     def __init__(self):
         self.sent = []
@@ -65,10 +65,10 @@
     watcher.confirm(before, 0.0)
 
 
-async def test_news_that_waited_for_its_turn_is_not_taken_for_fresh():
-    # A configuration is large, and the peers before this one are slow. What it is told
-    # at last was true seconds ago: taken for fresh, routes that were added since would
-    # be refused with 404.
+async def test_an_update_that_waited_for_a_slot_does_not_count_as_fresh():
+    # A configuration is large, and slow peers hold the send slots. The update that this
+    # peer gets at last is seconds old: if it counted as fresh, the peer would answer
+    # 404 on routes that were added since.
     watcher, session = create_watcher("p")
     for _ in range(LARGE_SENDS_MAX):
         await watcher.notifier.large_send_slots.acquire()
@@ -88,9 +88,9 @@
     assert not peer.ages.is_current()
 
 
-async def test_what_is_to_be_told_as_a_send_ends_is_told_at_once():
-    # A change is read in the very step in which the send before it has ended. Left for
-    # the next change, the peer would hear of it a second later.
+async def test_a_change_that_arrives_as_a_send_ends_is_sent_at_once():
+    # A change arrives in the event loop step in which the previous send ends. If it
+    # waited for the next change, the peer would get it a second later.
     watcher, _ = create_watcher("p")
     notifier, sent = watcher.notifier, []
 
@@ -105,9 +105,9 @@
     assert sent == [5, 6]
 
 
-async def test_peers_that_are_gone_do_not_keep_a_living_one_from_a_newer_version():
-    # A zone is cut off with eight hosts, and two large versions follow each other. A
-    # host that lives has to get the newer one, not the older one only.
+async def test_dead_peers_do_not_keep_a_live_one_from_a_newer_version():
+    # A zone with eight hosts is cut off, and two large versions follow each other. A
+    # live host has to get the newer version too, not only the older one.
     watcher, session = create_watcher(*(f"dead{number}" for number in range(8)), "p")
     apply_large_value(watcher, 5)
     await asyncio.sleep(0.01)
@@ -119,7 +119,7 @@
 
 
 async def async_update_during_large_sends(watcher, session):
-    """Let a configuration wait for dead peers, and a zone be emptied meanwhile."""
+    """Evacuate a zone while a configuration waits for dead peers."""
     apply_large_value(watcher, 5)
     await asyncio.sleep(0.01)
     watcher.view.apply(Changes((StoredItem("zone-a", b"", 6),), 6), NOW)
@@ -133,11 +133,11 @@
     return session.sent
 
 
-async def test_word_of_a_server_does_not_wait_for_a_large_value():
-    # The operators add 1,400 routes, and a watcher tells thirty hosts, eight at a time;
-    # some have full links, and hold their turn for seconds. A server that leaves in the
-    # meantime was told of in the same message, so hosts that wait for their turn sent
-    # callers there until it came.
+async def test_an_update_of_a_server_does_not_wait_for_a_large_value():
+    # Operators add 1,400 routes, and a watcher notifies thirty hosts, eight at a time.
+    # Some have saturated links and hold their slots for seconds. If the departure of a
+    # server were sent in the same message, hosts that wait for a slot would send
+    # callers there until it arrives.
     dead = [f"dead{number}" for number in range(LARGE_SENDS_MAX)]
     watcher, session = create_watcher(*dead, "p")
     peer = host("p")
@@ -145,19 +145,20 @@
         await peer.async_take_news(Request(body))
     assert peer.view.evacuated_at == {"zone-a": NOW}
     assert peer.ages.informed_at() == NOW
-    # The large value is still to come: unknown paths may be known to others.
+    # The large value has not arrived, so other hosts may know paths that this one
+    # lacks.
     assert peer.view.revision == 0
     assert not peer.ages.is_current()
-    assert not peer.exchange_tasks, "what is lacking is on its way already"
+    assert not peer.exchange_tasks, "the missing value is being sent already"
     learned = watcher.encoded(0)
     peer.take_encoded(learned)
     assert peer.view.revision == 6
     assert peer.ages.is_current()
 
 
-async def test_word_that_was_missed_is_asked_for():
-    # The first word beside a large value got lost. The next one does not hold it, so
-    # the host must not take itself for informed.
+async def test_a_missed_partial_update_is_requested():
+    # The first partial update beside a large value was lost. The next one does not
+    # include it, so the host must not count its view of the servers as complete.
     watcher, session = create_watcher(
         *(f"dead{n}" for n in range(LARGE_SENDS_MAX)), "p"
     )
@@ -170,10 +171,10 @@
         task.cancel()
 
 
-async def test_a_tick_that_lay_in_a_full_link_is_not_taken_for_fresh():
-    # The watcher's link is full of answers to callers. Word that there is nothing new
-    # lies in it for seconds, long after its sender gave it up. Its receiver would take
-    # itself for up to date, answer 404 on new routes, and not ask the store.
+async def test_a_confirmation_queued_in_a_saturated_link_does_not_count_as_fresh():
+    # The watcher's link is saturated with answers to callers. Its confirmation that
+    # there are no changes queues there for seconds, long after its timeout. A receiver
+    # that counted it as fresh would answer 404 on new routes and not read the store.
     async with async_peers(2) as (watcher, peer):
         link = SlowLink(610_000)
         relay = Relay(peer.entry.peer_address, there=link)
@@ -199,11 +200,11 @@
 @pytest.mark.parametrize(
     ("seconds", "revision"), [(0.5, 0), (UPDATE_WAIT_SECONDS + 0.1, 7)]
 )
-async def test_a_peer_that_trickles_keeps_others_from_telling_for_two_seconds_only(
+async def test_a_peer_that_trickles_blocks_updates_from_others_for_two_seconds_only(
     seconds, revision
 ):
-    # A peer sends its news byte by byte, for as long as it likes. While it was waited
-    # for, no other peer was asked, and the host knew nothing of changes.
+    # A peer sends its items byte by byte without end. If the host waited for it, it
+    # would ask no other peer and get no changes.
     async with async_peers(2) as (peer, asker):
         peer.gossip.view.apply(Changes((StoredItem("x", LARGE, 7),), 7), NOW)
         asker.gossip.update_requested_at = asker.gossip.clock.monotonic() - seconds
@@ -230,7 +231,7 @@
     assert found == (None if delay is None else pytest.approx(delay))
 
 
-def test_delays_of_peers_that_are_gone_are_forgotten():
+def test_delays_of_removed_peers_are_dropped():
     delays = MessageDelays()
     delays.record_message("h1", 1, 0.0, 0.0)
     delays.record_message("h2", 1, 0.0, 0.0)
--- a/packages/node/tests/test_gateway_relayed_news.py
+++ b/packages/node/tests/test_gateway_relayed_news.py
@@ -1,4 +1,4 @@
-"""News that some hosts of a large region pass on to the others."""
+"""Updates that some hosts of a large region relay to the others."""
 
 import pytest
 from deployment import async_until
@@ -14,7 +14,7 @@
 
 
 class Answer:
-    """What a host answers to news, after it has taken it in."""
+    """The answer of a host that handles an update."""
 
     def __init__(self, region, url, data):
         self.region = region
@@ -41,7 +41,7 @@
 
 
 class Region:
-    """Hosts that know of each other and reach each other without a network."""
+    """Hosts that have each other in their tables, connected without a network."""
 
     def __init__(self, dead=()):
         self.dead = set(dead)
@@ -72,8 +72,8 @@
 
 
 @pytest.mark.parametrize("lost", [0, 1, 3])
-async def test_all_hosts_hear_of_a_change_though_some_that_pass_it_on_are_gone(lost):
-    """Guards against a part of a region that goes on with old news."""
+async def test_all_hosts_get_a_change_though_some_relays_are_dead(lost):
+    """Guards against dead relays that leave part of a region with an old view."""
     region = Region()
     region.apply_change("h0", 0, 5)
     await async_until(lambda: len(region.informed()) == HOSTS)
@@ -84,8 +84,8 @@
     assert not set(relays) & set(region.informed())
 
 
-async def test_a_host_that_lacks_older_news_leaves_passing_on_to_the_watcher():
-    """Guards against a host that has just started and tells others nothing."""
+async def test_a_relay_that_lacks_older_changes_leaves_notifying_to_the_watcher():
+    """Guards against a relay that has just started and notifies no other host."""
     region = Region()
     for one in region.hosts.values():
         one.view.apply(Changes((StoredItem("zone-b", b"", 2),), 2), NOW)
--- a/packages/node/tests/test_gateway_transfer.py
+++ b/packages/node/tests/test_gateway_transfer.py
@@ -1,4 +1,4 @@
-"""Limits of transfers that go on, stand still, or trickle."""
+"""Timeouts of transfers that make progress, stall or trickle."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 class PausingReader:
-    """Give pieces after pauses, on a clock that is moved by hand."""
+    """Return pieces after pauses, on a clock that the reader advances."""
 
     def __init__(self, loop_time, *rows):
         self.loop_time = loop_time
@@ -23,7 +23,7 @@
 
 
 class Limit:
-    """Keep the times that a limit was put off to."""
+    """Record the times to which a timeout is extended."""
 
     def __init__(self):
         self.times = []
@@ -41,9 +41,9 @@
         ([(0.5, b"ab"), (0.5, b"c")], [1.1, 1.6]),
         ([(19.0, b"a"), (0.9, b"b")], [19.6, 20.0]),
     ],
-    ids=["goes on", "trickles"],
+    ids=["makes progress", "trickles"],
 )
-async def test_each_piece_puts_the_limit_off(monkeypatch, rows, times):
+async def test_each_piece_extends_the_timeout(monkeypatch, rows, times):
     now = [0.0]
     monkeypatch.setattr(asyncio.get_running_loop(), "time", lambda: now[0])
     limit = Limit()
@@ -52,16 +52,16 @@
     assert limit.times == pytest.approx(times)
 
 
-async def test_a_transfer_that_stands_still_ends():
-    # A link goes silent in the middle of an answer: without an end the host would never
-    # ask anybody else, and its callers would be served by an old configuration.
+async def test_a_stalled_transfer_times_out():
+    # A link goes silent in the middle of an answer. Without a timeout the host would
+    # never ask another peer, and would keep serving callers by an old configuration.
     content = PausingReader([0.0], (0.0, b"a"))
     content.readany_once = content.readany
 
-    async def stand_still():
+    async def stall():
         return await content.readany_once() or await asyncio.sleep(3600)
 
-    content.readany = stand_still
+    content.readany = stall
     with pytest.raises(TimeoutError):
         async with asyncio.timeout(0.05) as limit:
             await transfer.async_read_answer(content, limit, 0.05)
