--- a/packages/node/greengagepoint_node/gateway/gossip.py
+++ b/packages/node/greengagepoint_node/gateway/gossip.py
@@ -161,9 +161,9 @@
         self.ages.note_store(seconds_ago)
         if not self.is_watcher or self.own.leaving:
             return
-        # Older removals are known only from a whole snapshot with all large values.
-        splits = before >= self.view.removed_complete_after
-        large = splits and self.view.has_large_after(before)
+        # Earlier removals only follow from a whole snapshot, large values included.
+        can_split = before >= self.view.removed_complete_after
+        has_large = can_split and self.view.has_large_after(before)
         local_hosts = {
             state.entry.name: state.entry
             for state in self.table.alive(now)
@@ -177,8 +177,8 @@
         for entry in local_hosts.values():
             # A large value waits for a send slot and for saturated links. If a server's
             # departure were sent with it, the server would stay in use for as long.
-            if large or (
-                splits and entry.peer_address in self.notifier.large_addresses
+            if has_large or (
+                can_split and entry.peer_address in self.notifier.large_addresses
             ):
                 self.partial_notifier.notify(entry.peer_address, before)
 
@@ -237,7 +237,7 @@
         if wants_news:
             self.update_requested_at = started_at
         try:
-            message = await self._async_ask(address, wants_news=wants_news)
+            message = await self._async_post_message(address, wants_news=wants_news)
             self._earliest_send_time(message, 0)
             self._apply_message(message, started_at)
             if message.proof is not None:
@@ -255,7 +255,7 @@
             if wants_news and self.update_requested_at == started_at:
                 self.update_requested_at = None
 
-    async def _async_ask(self, address: str, *, wants_news: bool) -> Message:
+    async def _async_post_message(self, address: str, *, wants_news: bool) -> Message:
         """Send this host's exchange message to a peer and return the peer's."""
         body = self.encoded(self.view.revision, wants_news=wants_news)
         # The message just encoded asks for the addresses. If the answer is lost, the
--- a/packages/node/greengagepoint_node/gateway/region_reports.py
+++ b/packages/node/greengagepoint_node/gateway/region_reports.py
@@ -166,7 +166,7 @@
         )
         for entry in self._ledger_candidates()[:ATTEMPTS_MAX]:
             requested_at = self.clock.monotonic()
-            answer = await self._async_ask(entry, report)
+            answer = await self._async_request_answer(entry, report)
             if answer is not None:
                 self._apply_answer(answer, requested_at)
                 return
@@ -179,13 +179,13 @@
         if answer.proof is not None:
             self.view.certainty.take(answer.proof, requested_at)
 
-    async def _async_ask(
+    async def _async_request_answer(
         self, entry: HostEntry, report: UsageReport
     ) -> UsageAnswer | None:
         """Return a host's answer to a report, or None without an answer."""
         now = self.clock.monotonic()
         if entry.name != self.own.entry.name:
-            return await self._async_send(entry.peer_address, report)
+            return await self._async_post_report(entry.peer_address, report)
         # Without recent reports, this host may be cut off from the others, which go on
         # using shares of the same limits.
         if (
@@ -195,7 +195,7 @@
             return None
         return self._answer(report, now)
 
-    async def _async_send(
+    async def _async_post_report(
         self, address: str, report: UsageReport
     ) -> UsageAnswer | None:
         """Send a report to another host; return None if it does not answer in time."""
@@ -297,5 +297,5 @@
             silent_parts=dict(self.ledger.silent_parts),
             region=self.own.entry.region,
         )
-        if await self._async_send(address, report) is not None:
+        if await self._async_post_report(address, report) is not None:
             acknowledged.update({row.account: row.asked for row in rows})
--- a/packages/node/tests/test_gateway_gossip.py
+++ b/packages/node/tests/test_gateway_gossip.py
@@ -68,9 +68,9 @@
 async def async_exchange(one, other):
     """Run one exchange between two hosts without a network."""
     one.own.count += 1
-    half = one.encoded(one.view.revision)
+    request_body = one.encoded(one.view.revision)
     one.table.lacks_addresses = False
-    answer = await other.async_answer(Request(half))
+    answer = await other.async_answer(Request(request_body))
     assert answer.status == 200
     one.take_encoded(answer.body)
 
@@ -78,16 +78,16 @@
 async def test_a_host_that_the_store_rejects_gets_changes_from_a_peer():
     # The store serves one host and rejects another one. A zone is evacuated; without
     # its peer, the second host would send requests there while the store rejects it.
-    served, cut_off = host("h1"), host("h2")
+    served, rejected = host("h1"), host("h2")
     item = StoredItem("zone-a", b"", 7)
     served.view.apply(Changes((item,), 7), NOW)
-    await async_exchange(cut_off, served)
-    assert cut_off.view.revision == 7
-    assert "zone-a" in cut_off.view.evacuated_at
+    await async_exchange(rejected, served)
+    assert rejected.view.revision == 7
+    assert "zone-a" in rejected.view.evacuated_at
     served.view.apply(Changes((RemovedKey("zone-a", 9),), 9), NOW)
-    await async_exchange(cut_off, served)
-    assert "zone-a" not in cut_off.view.evacuated_at
-    assert len(cut_off.events.of(Event.CONFIGURATION_FROM_PEER)) == 2
+    await async_exchange(rejected, served)
+    assert "zone-a" not in rejected.view.evacuated_at
+    assert len(rejected.events.of(Event.CONFIGURATION_FROM_PEER)) == 2
 
 
 async def async_read_after_start(responder):
