--- a/packages/node/greengagepoint_node/gateway/daemon.py
+++ b/packages/node/greengagepoint_node/gateway/daemon.py
@@ -35,7 +35,7 @@
     ReadParts,
 )
 from greengagepoint_node.gateway.follower import HostRegistration, StoreFollower
-from greengagepoint_node.gateway.gossip import PATH, Gossip
+from greengagepoint_node.gateway.gossip import EXCHANGE_PATH, Gossip
 from greengagepoint_node.gateway.gossip_messages import HostState
 from greengagepoint_node.gateway.handler import Gateway
 from greengagepoint_node.gateway.listeners import Listener, create_socket
@@ -184,7 +184,7 @@
             self.weights,
             self.clock.monotonic(),
             self.events,
-            self.gossip.distances.to,
+            self.gossip.distances.round_trip_to,
         )
         self.gossip.writer.loads = self.placer.loads
         self.gossip.writer.busy_servers = self.placer.busy_servers
@@ -382,14 +382,14 @@
             self.view.servers.set_senders(max(1, len(near)))
             names = sorted(state.entry.name for state in hosts)
             self.placer.serving_hosts = names
-            self.placer.round_trip_seconds = self.gossip.distances.farthest()
+            self.placer.round_trip_seconds = self.gossip.distances.max_round_trip()
             self.placer.tick(now)
             self.quarantine.tick()
             self.retries.hosts = max(len(names), len(self.view.hosts))
             self.gate.hosts = self.retries.hosts
             full = self.reports.link_is_full = self.gossip.link_is_full()
             self.gate.told_seconds = FULL_LINK_TOLD_SECONDS if full else TOLD_SECONDS
-            self.reports.near_hosts = len(near)
+            self.reports.local_host_count = len(near)
             await asyncio.sleep(TICK_SECONDS)
             self.counters.loop_lag.add(self.clock.monotonic() - now - TICK_SECONDS)
 
@@ -427,10 +427,10 @@
 
     async def _async_answer_peer(self, request: web.BaseRequest) -> web.Response:
         """Answer a peer."""
-        if request.rel_url.raw_path == PATH:
+        if request.rel_url.raw_path == EXCHANGE_PATH:
             return await self.gossip.async_answer(request)
         if request.rel_url.raw_path == NEWS_PATH:
-            return await self.gossip.async_take_news(request)
+            return await self.gossip.async_handle_update(request)
         if request.rel_url.raw_path == QUARANTINE_PATH:
             return await self.quarantine_sync.async_take(request)
         if request.rel_url.raw_path == REPORTS_PATH:
--- a/packages/node/greengagepoint_node/gateway/distances.py
+++ b/packages/node/greengagepoint_node/gateway/distances.py
@@ -22,11 +22,11 @@
         shortest = self.round_trips.get(region, math.inf)
         self.round_trips[region] = min(shortest, seconds / ROUND_TRIPS_OF_EXCHANGE)
 
-    def farthest(self) -> float:
+    def max_round_trip(self) -> float:
         """Return the longest round trip to a region in seconds, 0 if none is known."""
         return max(self.round_trips.values(), default=0.0)
 
-    def to(self, region: str) -> float:
+    def round_trip_to(self, region: str) -> float:
         """Return the round trip in seconds, 0 for the own or an unknown region."""
         if region == self.home:
             return 0.0
--- a/packages/node/greengagepoint_node/gateway/gossip.py
+++ b/packages/node/greengagepoint_node/gateway/gossip.py
@@ -64,7 +64,7 @@
 # The share of exchanges with hosts of the own region, where they cost less. Updates
 # still reach each other region several times a second.
 LOCAL_EXCHANGE_SHARE: Final = 0.8
-PATH: Final = "/v1/gossip"
+EXCHANGE_PATH: Final = "/v1/gossip"
 SENT: Final = "sent"
 RECEIVED: Final = "received"
 
@@ -191,7 +191,7 @@
         self.exchange_tasks[address] = task
         task.add_done_callback(lambda _: self.exchange_tasks.pop(address, None))
 
-    async def async_take_news(self, request: web.BaseRequest) -> web.Response:
+    async def async_handle_update(self, request: web.BaseRequest) -> web.Response:
         """Handle an update from the watcher of this region."""
         try:
             body = await request.read()
@@ -257,13 +257,13 @@
 
     async def _async_post_message(self, address: str, *, wants_news: bool) -> Message:
         """Send this host's exchange message to a peer and return the peer's."""
-        body = self.encoded(self.view.revision, wants_news=wants_news)
+        body = self.encode_exchange(self.view.revision, wants_news=wants_news)
         # The message just encoded asks for the addresses. If the answer is lost, the
         # next heartbeat of an unknown host sets this again.
         self.table.lacks_addresses = False
         self.exchanges += 1
         self.bytes["exchange", SENT] += len(body)
-        url = f"http://{address}{PATH}"
+        url = f"http://{address}{EXCHANGE_PATH}"
         full = self.link_is_full()
         idle_seconds = FULL_LINK_EXCHANGE_SECONDS if full else EXCHANGE_SECONDS
         async with asyncio.timeout(idle_seconds) as limit:
@@ -279,7 +279,7 @@
             Event.PEER_MESSAGE_DROPPED, address=address, detail=type(error).__name__
         )
 
-    def encoded(self, revision: int, *, wants_news: bool = True) -> bytes:
+    def encode_exchange(self, revision: int, *, wants_news: bool = True) -> bytes:
         """Return this host's encoded exchange message for a peer at a revision."""
         peers = self.table.recent_peers(self.clock.monotonic())
         message = self.writer.create_message(revision, peers)
@@ -287,7 +287,7 @@
         message.suspects = self.suspects.shared()
         return encode(message)
 
-    def take_encoded(self, body: bytes) -> None:
+    def apply_exchange(self, body: bytes) -> None:
         """Apply a peer's exchange message; raise MsgspecError if it is invalid."""
         self._apply_message(decode(body), self.clock.monotonic())
 
--- a/packages/node/greengagepoint_node/gateway/region_reports.py
+++ b/packages/node/greengagepoint_node/gateway/region_reports.py
@@ -81,7 +81,7 @@
         self.skipped_until: dict[str, float] = {}
         self.acknowledged_sums: dict[str, dict[str, int]] = {}
         self.link_is_full = False
-        self.near_hosts = 1
+        self.local_host_count = 1
         self.over_limit: set[str] = set()
         self.send_tasks: dict[str, asyncio.Task[None]] = {}
 
@@ -102,7 +102,7 @@
 
     def period_seconds(self) -> float:
         """Return the seconds between reports."""
-        return PERIOD_SECONDS * max(1.0, self.near_hosts / HOSTS_AT_PERIOD)
+        return PERIOD_SECONDS * max(1.0, self.local_host_count / HOSTS_AT_PERIOD)
 
     def accounts(self) -> dict[str, Account]:
         """Return the active accounts by name."""
--- a/packages/node/tests/test_gateway_gossip.py
+++ b/packages/node/tests/test_gateway_gossip.py
@@ -68,11 +68,11 @@
 async def async_exchange(one, other):
     """Run one exchange between two hosts without a network."""
     one.own.count += 1
-    request_body = one.encoded(one.view.revision)
+    request_body = one.encode_exchange(one.view.revision)
     one.table.lacks_addresses = False
     answer = await other.async_answer(Request(request_body))
     assert answer.status == 200
-    one.take_encoded(answer.body)
+    one.apply_exchange(answer.body)
 
 
 async def test_a_host_that_the_store_rejects_gets_changes_from_a_peer():
@@ -190,12 +190,12 @@
     # region, and run cold there, whenever a peer is busy.
     near, far = host("h1"), host("h2")
     far.own.entry = HostEntry("h2", "south", "zone-b", "h2:1", "h2:2")
-    assert near.distances.farthest() == 0.0
+    assert near.distances.max_round_trip() == 0.0
     await async_exchange(near, far)
     for seconds in (0.3, 0.08, 0.2):
         near.distances.record_exchange(near.table.region_of("h2:2"), seconds)
     near.distances.record_exchange(near.table.region_of("unknown:2"), 9.0)
-    assert near.distances.farthest() == 0.04
+    assert near.distances.max_round_trip() == 0.04
 
 
 def encoded_update(host, before):
@@ -210,7 +210,7 @@
     watcher.confirm(0, 0.0)
     other.is_watcher = False
     assert other.must_watch()
-    answer = await other.async_take_news(Request(encoded_update(watcher, 0)))
+    answer = await other.async_handle_update(Request(encoded_update(watcher, 0)))
     assert answer.status == 204
     assert "zone-a" in other.view.evacuated_at
     assert not other.must_watch()
@@ -233,7 +233,7 @@
     watcher.view.apply(Changes((StoredItem("zone-a", b"", 7),), 7), NOW)
     watcher.view.apply(Changes((StoredItem("zone-b", b"", 9),), 9), NOW)
     watcher.confirm(7, 0.0)
-    await other.async_take_news(Request(encoded_update(watcher, 7)))
+    await other.async_handle_update(Request(encoded_update(watcher, 7)))
     await asyncio.sleep(0)
     assert other.view.revision == 0
     assert other.must_watch()
@@ -248,7 +248,7 @@
     watcher, one, other = (host(name, clock) for name in ("h1", "h2", "h3"))
     one.is_watcher = other.is_watcher = False
     watcher.confirm(0, 0.0)
-    await one.async_take_news(Request(encoded_update(watcher, 0)))
+    await one.async_handle_update(Request(encoded_update(watcher, 0)))
     for _ in range(4):
         watcher.clock.now += STALE_SECONDS / 3
         await async_exchange(other, one)
@@ -317,11 +317,11 @@
     clock = first.clock
     second.clock = late.clock = clock
     await async_exchange(second, first)
-    in_full = len(first.encoded(0))
+    in_full = len(first.encode_exchange(0))
     clock.now += ADDRESSES_SECONDS + 1
     second.own.count += 1
     await async_exchange(second, first)
-    assert len(first.encoded(0)) < in_full
+    assert len(first.encode_exchange(0)) < in_full
     await async_exchange(late, first)
     assert [state.entry.name for state in late.table.alive(clock.now)] == ["h3", "h1"]
     assert late.table.lacks_addresses
--- a/packages/node/tests/test_gateway_incarnations.py
+++ b/packages/node/tests/test_gateway_incarnations.py
@@ -161,10 +161,10 @@
     tell(teller, *known, late)
     tell(asker, *known[: {"starts": 0, "knows the older": 2}.get(behind, 3)])
     one, other = host("h1", asker), host("h2", teller)
-    one.take_encoded(other.encoded(asker.revision))
+    one.apply_exchange(other.encode_exchange(asker.revision))
     assert asker.revision == 4
     assert members(asker) == members(teller) == {run(200, THERE)}
-    other.take_encoded(one.encoded(0))
+    other.apply_exchange(one.encode_exchange(0))
     assert members(teller) == {run(200, THERE)}
 
 
--- a/packages/node/tests/test_gateway_large_values.py
+++ b/packages/node/tests/test_gateway_large_values.py
@@ -11,7 +11,7 @@
 from greengagepoint.overload.full_link import SAMPLES_MIN
 from greengagepoint_node.clock import SystemClock
 from greengagepoint_node.gateway.facts import Changes, HostEntry, StoredItem
-from greengagepoint_node.gateway.gossip import PATH, RECEIVED, SENT, Gossip
+from greengagepoint_node.gateway.gossip import EXCHANGE_PATH, RECEIVED, SENT, Gossip
 from greengagepoint_node.gateway.gossip_messages import HostState
 from greengagepoint_node.gateway.host_table import HeardHost
 from greengagepoint_node.gateway.listeners import Listener
@@ -47,8 +47,8 @@
 
     async def async_answer(self, request):
         answers = {
-            PATH: self.gossip.async_answer,
-            NEWS_PATH: self.gossip.async_take_news,
+            EXCHANGE_PATH: self.gossip.async_answer,
+            NEWS_PATH: self.gossip.async_handle_update,
         }
         return await answers[request.rel_url.raw_path](request)
 
--- a/packages/node/tests/test_gateway_leaving_servers.py
+++ b/packages/node/tests/test_gateway_leaving_servers.py
@@ -129,10 +129,10 @@
 def hear_peer(world, age, *, full_link=False):
     """Take in a peer's half of an exchange whose own news is so old."""
     gossip = world.daemon.gossip
-    message = decode(gossip.encoded(gossip.view.revision))
+    message = decode(gossip.encode_exchange(gossip.view.revision))
     message.age = age
     message.full_link = full_link
-    gossip.take_encoded(encode(message))
+    gossip.apply_exchange(encode(message))
 
 
 @pytest.mark.parametrize(
--- a/packages/node/tests/test_gateway_peer_notifier.py
+++ b/packages/node/tests/test_gateway_peer_notifier.py
@@ -82,7 +82,7 @@
     assert decode(early).partial_after == 0
     peer = host("p")
     peer.clock.now = watcher.clock.now
-    await peer.async_take_news(Request(whole))
+    await peer.async_handle_update(Request(whole))
     assert peer.view.revision == 5
     assert peer.ages.peers_at <= confirmed_at
     assert not peer.ages.is_current()
@@ -142,7 +142,7 @@
     watcher, session = create_watcher(*dead, "p")
     peer = host("p")
     for body in await async_update_during_large_sends(watcher, session):
-        await peer.async_take_news(Request(body))
+        await peer.async_handle_update(Request(body))
     assert peer.view.evacuated_at == {"zone-a": NOW}
     assert peer.ages.informed_at() == NOW
     # The large value has not arrived, so other hosts may know paths that this one
@@ -150,8 +150,8 @@
     assert peer.view.revision == 0
     assert not peer.ages.is_current()
     assert not peer.exchange_tasks, "the missing value is being sent already"
-    learned = watcher.encoded(0)
-    peer.take_encoded(learned)
+    learned = watcher.encode_exchange(0)
+    peer.apply_exchange(learned)
     assert peer.view.revision == 6
     assert peer.ages.is_current()
 
@@ -164,7 +164,7 @@
     )
     peer = host("p", session=Session())
     bodies = await async_update_during_large_sends(watcher, session)
-    await peer.async_take_news(Request(bodies[-1]))
+    await peer.async_handle_update(Request(bodies[-1]))
     assert peer.ages.informed_at() < NOW
     assert set(peer.exchange_tasks) == {"w:2"}
     for task in peer.exchange_tasks.values():
--- a/packages/node/tests/test_gateway_relayed_news.py
+++ b/packages/node/tests/test_gateway_relayed_news.py
@@ -26,7 +26,7 @@
         if self.name in self.region.dead:
             raise ConnectionRefusedError
         receiver = self.region.hosts[self.name]
-        self.answer = await receiver.async_take_news(Request(self.data))
+        self.answer = await receiver.async_handle_update(Request(self.data))
         return self
 
     async def __aexit__(self, *error):
