--- a/packages/node/greengagepoint_node/gateway/daemon.py
+++ b/packages/node/greengagepoint_node/gateway/daemon.py
@@ -29,7 +29,7 @@
 from greengagepoint_node.gateway.counters import GatewayCounters, Gauges
 from greengagepoint_node.gateway.directory import HostDirectory
 from greengagepoint_node.gateway.follower import HostRegistration, StoreFollower
-from greengagepoint_node.gateway.gossip import PATH, Gossip
+from greengagepoint_node.gateway.gossip import EXCHANGE_PATH, Gossip
 from greengagepoint_node.gateway.gossip_messages import HostState
 from greengagepoint_node.gateway.handler import Gateway
 from greengagepoint_node.gateway.listeners import Listener, create_socket
@@ -184,7 +184,7 @@
             self.weights,
             self.clock.monotonic(),
             self.events,
-            self.gossip.distances.to,
+            self.gossip.distances.round_trip_to,
         )
         self.gossip.writer.loads = self.placer.loads
         self.gossip.writer.busy_servers = self.placer.busy_servers
@@ -384,7 +384,7 @@
             self.view.servers.set_senders(max(1, len(local_hosts)))
             names = sorted(state.entry.name for state in hosts)
             self.placer.serving_hosts = names
-            self.placer.round_trip_seconds = self.gossip.distances.farthest()
+            self.placer.round_trip_seconds = self.gossip.distances.max_round_trip()
             self.placer.tick(now)
             self.quarantine.tick()
             self.retries.hosts = max(len(names), len(self.view.hosts))
@@ -393,7 +393,7 @@
             self.gate.limits_valid_seconds = (
                 FULL_LINK_LIMITS_VALID_SECONDS if is_full else LIMITS_VALID_SECONDS
             )
-            self.reports.near_hosts = len(local_hosts)
+            self.reports.local_host_count = len(local_hosts)
             await asyncio.sleep(TICK_SECONDS)
             self.counters.loop_lag.add(self.clock.monotonic() - now - TICK_SECONDS)
 
@@ -433,10 +433,10 @@
 
     async def _async_answer_peer(self, request: web.BaseRequest) -> web.Response:
         """Dispatch a peer's message by its path."""
-        if request.rel_url.raw_path == PATH:
+        if request.rel_url.raw_path == EXCHANGE_PATH:
             return await self.gossip.async_answer(request)
         if request.rel_url.raw_path == NEWS_PATH:
-            return await self.gossip.async_take_news(request)
+            return await self.gossip.async_handle_update(request)
         if request.rel_url.raw_path == QUARANTINE_PATH:
             return await self.quarantine_sync.async_receive(request)
         if request.rel_url.raw_path == REPORTS_PATH:
--- a/packages/node/tests/test_gateway_incarnations.py
+++ b/packages/node/tests/test_gateway_incarnations.py
@@ -183,10 +183,10 @@
         create_gossip("h1", receiver_view),
         create_gossip("h2", sender_view),
     )
-    receiver.take_encoded(sender.encoded(receiver_view.revision))
+    receiver.apply_exchange(sender.encode_exchange(receiver_view.revision))
     assert receiver_view.revision == 4
     assert members(receiver_view) == members(sender_view) == {run(200, THERE)}
-    sender.take_encoded(receiver.encoded(0))
+    sender.apply_exchange(receiver.encode_exchange(0))
     assert members(sender_view) == {run(200, THERE)}
 
 
--- a/packages/node/tests/test_gateway_peer_notifier.py
+++ b/packages/node/tests/test_gateway_peer_notifier.py
@@ -1,4 +1,4 @@
-"""News for many peers, of which some are gone, slow or behind a full link."""
+"""Updates for many peers, some of them dead, slow or behind a saturated link."""
 
 import asyncio
 import random
@@ -8,8 +8,8 @@
 from test_gateway_gossip import NOW, Request, host
 from test_gateway_large_values import async_peers
 
-from greengagepoint_node.gateway.delays import FLOOR_RISE_PER_SECOND, MessageDelays
-from greengagepoint_node.gateway.gossip import NEWS_SECONDS
+from greengagepoint_node.gateway.delays import OFFSET_RISE_PER_SECOND, MessageDelays
+from greengagepoint_node.gateway.gossip import UPDATE_WAIT_SECONDS
 from greengagepoint_node.gateway.gossip_messages import HostState, decode
 from greengagepoint_node.gateway.host_table import HeardHost
 from greengagepoint_node.gateway.peer_notifier import LARGE_SENDS_MAX, NOTIFY_SECONDS
@@ -19,8 +19,8 @@
 LARGE = random.Random(2).randbytes(60_000)
 
 
-class Sending:
-    """One message on its way; peers named dead never take it."""
+class PendingPost:
+    """One message being sent; peers named dead never accept it."""
 
     def __init__(self, session, url, data):
         self.session = session
@@ -41,57 +41,57 @@
 
 
 class Session:
-    """Keep what peers took."""
+    """Record the messages that peers accept."""
 
     def __init__(self):
         self.sent = []
 
     def post(self, url, data, timeout):
-        return Sending(self, url, data)
+        return PendingPost(self, url, data)
 
 
-def watcher_of(*peers):
+def create_watcher(*peers):
     session = Session()
     watcher = host("w", session=session)
     for name in peers:
         state = HostState(host(name).own.entry, 1, 0, leaving=False)
-        watcher.table.heard[name] = HeardHost(state, NOW, NOW)
+        watcher.table.peers_by_name[name] = HeardHost(state, NOW, NOW)
     return watcher, session
 
 
-def learn(watcher, revision, before=0):
+def apply_large_value(watcher, revision, before=0):
     item = StoredItem("x", LARGE, revision)
     watcher.view.apply(Changes((item,), revision), NOW)
     watcher.confirm(before, 0.0)
 
 
-async def test_news_that_waited_for_its_turn_is_not_taken_for_fresh():
-    # A configuration is large, and the peers before this one are slow. What it is told
-    # at last was true seconds ago: taken for fresh, routes that were added since would
-    # be refused with 404.
-    watcher, session = watcher_of("p")
+async def test_an_update_that_waited_for_a_slot_does_not_count_as_fresh():
+    # A configuration is large, and slow peers hold the send slots. The update that this
+    # peer gets at last is seconds old: if it counted as fresh, the peer would answer
+    # 404 on routes that were added since.
+    watcher, session = create_watcher("p")
     for _ in range(LARGE_SENDS_MAX):
-        await watcher.notifier.large_sends.acquire()
-    learn(watcher, 5)
+        await watcher.notifier.large_send_slots.acquire()
+    apply_large_value(watcher, 5)
     await asyncio.sleep(0)
     confirmed_at = watcher.ages.store_at
     watcher.clock.now += 5.0
-    watcher.notifier.large_sends.release()
+    watcher.notifier.large_send_slots.release()
     await async_until(lambda: len(session.sent) == 2)
     early, whole = session.sent
     assert decode(early).partial_after == 0
     peer = host("p")
     peer.clock.now = watcher.clock.now
-    await peer.async_take_news(Request(whole))
+    await peer.async_handle_update(Request(whole))
     assert peer.view.revision == 5
     assert peer.ages.peers_at <= confirmed_at
     assert not peer.ages.is_current()
 
 
-async def test_what_is_to_be_told_as_a_send_ends_is_told_at_once():
-    # A change is read in the very step in which the send before it has ended. Left for
-    # the next change, the peer would hear of it a second later.
-    watcher, _ = watcher_of("p")
+async def test_a_change_that_arrives_as_a_send_ends_is_sent_at_once():
+    # A change arrives in the event loop step in which the previous send ends. If it
+    # waited for the next change, the peer would get it a second later.
+    watcher, _ = create_watcher("p")
     notifier, sent = watcher.notifier, []
 
     async def async_send(address):
@@ -105,78 +105,81 @@
     assert sent == [5, 6]
 
 
-async def test_peers_that_are_gone_do_not_keep_a_living_one_from_a_newer_version():
-    # A zone is cut off with eight hosts, and two large versions follow each other. A
-    # host that lives has to get the newer one, not the older one only.
-    watcher, session = watcher_of(*(f"dead{number}" for number in range(8)), "p")
-    learn(watcher, 5)
+async def test_dead_peers_do_not_keep_a_live_one_from_a_newer_version():
+    # A zone with eight hosts is cut off, and two large versions follow each other. A
+    # live host has to get the newer version too, not only the older one.
+    watcher, session = create_watcher(*(f"dead{number}" for number in range(8)), "p")
+    apply_large_value(watcher, 5)
     await asyncio.sleep(0.01)
-    learn(watcher, 6, before=5)
+    apply_large_value(watcher, 6, before=5)
     await async_until(lambda: session.sent)
     await async_until(lambda: decode(session.sent[-1]).revision == 6)
     for task in watcher.notifier.tasks.values():
         task.cancel()
 
 
-async def async_tell_beside_a_large_value(watcher, session):
-    """Let a configuration wait for dead peers, and a zone be emptied meanwhile."""
-    learn(watcher, 5)
+async def async_update_during_large_sends(watcher, session):
+    """Evacuate a zone while a configuration waits for dead peers."""
+    apply_large_value(watcher, 5)
     await asyncio.sleep(0.01)
     watcher.view.apply(Changes((StoredItem("zone-a", b"", 6),), 6), NOW)
     watcher.confirm(5, 0.0)
     await asyncio.sleep(0.01)
     for task in [
         *watcher.notifier.tasks.values(),
-        *watcher.early_notifier.tasks.values(),
+        *watcher.partial_notifier.tasks.values(),
     ]:
         task.cancel()
     return session.sent
 
 
-async def test_word_of_a_server_does_not_wait_for_a_large_value():
-    # The operators add 1,400 routes, and a watcher tells thirty hosts, eight at a time;
-    # some have full links, and hold their turn for seconds. A server that leaves in the
-    # meantime was told of in the same message, so hosts that wait for their turn sent
-    # callers there until it came.
+async def test_an_update_of_a_server_does_not_wait_for_a_large_value():
+    # Operators add 1,400 routes, and a watcher notifies thirty hosts, eight at a time.
+    # Some have saturated links and hold their slots for seconds. If the departure of a
+    # server were sent in the same message, hosts that wait for a slot would send
+    # callers there until it arrives.
     dead = [f"dead{number}" for number in range(LARGE_SENDS_MAX)]
-    watcher, session = watcher_of(*dead, "p")
+    watcher, session = create_watcher(*dead, "p")
     peer = host("p")
-    for body in await async_tell_beside_a_large_value(watcher, session):
-        await peer.async_take_news(Request(body))
+    for body in await async_update_during_large_sends(watcher, session):
+        await peer.async_handle_update(Request(body))
     assert peer.view.evacuated_at == {"zone-a": NOW}
     assert peer.ages.servers_complete_at() == NOW
-    # The large value is still to come: unknown paths may be known to others.
+    # The large value has not arrived, so other hosts may know paths that this one
+    # lacks.
     assert peer.view.revision == 0
     assert not peer.ages.is_current()
-    assert not peer.under_way, "what is lacking is on its way already"
-    learned = watcher.encoded(0)
-    peer.take_encoded(learned)
+    assert not peer.exchange_tasks, "the missing value is being sent already"
+    learned = watcher.encode_exchange(0)
+    peer.apply_exchange(learned)
     assert peer.view.revision == 6
     assert peer.ages.is_current()
 
 
-async def test_word_that_was_missed_is_asked_for():
-    # The first word beside a large value got lost. The next one does not hold it, so
-    # the host must not take itself for informed.
-    watcher, session = watcher_of(*(f"dead{n}" for n in range(LARGE_SENDS_MAX)), "p")
+async def test_a_missed_partial_update_is_requested():
+    # The first partial update beside a large value was lost. The next one does not
+    # include it, so the host must not count its view of the servers as complete.
+    watcher, session = create_watcher(
+        *(f"dead{n}" for n in range(LARGE_SENDS_MAX)), "p"
+    )
     peer = host("p", session=Session())
-    bodies = await async_tell_beside_a_large_value(watcher, session)
-    await peer.async_take_news(Request(bodies[-1]))
+    bodies = await async_update_during_large_sends(watcher, session)
+    await peer.async_handle_update(Request(bodies[-1]))
     assert peer.ages.servers_complete_at() < NOW
-    assert set(peer.under_way) == {"w:2"}
-    for task in peer.under_way.values():
+    assert set(peer.exchange_tasks) == {"w:2"}
+    for task in peer.exchange_tasks.values():
         task.cancel()
 
 
-async def test_a_tick_that_lay_in_a_full_link_is_not_taken_for_fresh():
-    # The watcher's link is full of answers to callers. Word that there is nothing new
-    # lies in it for seconds, long after its sender gave it up. Its receiver would take
-    # itself for up to date, answer 404 on new routes, and not ask the store.
+async def test_a_confirmation_queued_in_a_saturated_link_does_not_count_as_fresh():
+    # The watcher's link is saturated with answers to callers. Its confirmation that
+    # there are no changes queues there for seconds, long after its timeout. A receiver
+    # that counted it as fresh would answer 404 on new routes and not read the store.
     async with async_peers(2) as (watcher, peer):
         link = SlowLink(610_000)
         relay = Relay(peer.entry.peer_address, there=link)
         await relay.async_open()
-        watcher.hears_of("h1", relay.address)
+        watcher.add_peer("h1", relay.address)
         try:
             for _ in range(2):
                 watcher.gossip.confirm(0, 0.0)
@@ -194,15 +197,17 @@
             await relay.async_cut()
 
 
-@pytest.mark.parametrize(("seconds", "revision"), [(0.5, 0), (NEWS_SECONDS + 0.1, 7)])
-async def test_a_peer_that_trickles_keeps_others_from_telling_for_two_seconds_only(
+@pytest.mark.parametrize(
+    ("seconds", "revision"), [(0.5, 0), (UPDATE_WAIT_SECONDS + 0.1, 7)]
+)
+async def test_a_peer_that_trickles_blocks_updates_from_others_for_two_seconds_only(
     seconds, revision
 ):
-    # A peer sends its news byte by byte, for as long as it likes. While it was waited
-    # for, no other peer was asked, and the host knew nothing of changes.
+    # A peer sends its items byte by byte without end. If the host waited for it, it
+    # would ask no other peer and get no changes.
     async with async_peers(2) as (peer, asker):
         peer.gossip.view.apply(Changes((StoredItem("x", LARGE, 7),), 7), NOW)
-        asker.gossip.asked_for_news_at = asker.gossip.clock.monotonic() - seconds
+        asker.gossip.update_requested_at = asker.gossip.clock.monotonic() - seconds
         await asker.gossip._async_exchange(peer.entry.peer_address)
         assert asker.gossip.view.revision == revision
 
@@ -212,7 +217,7 @@
     [
         ([(1, 5.0, 105.0)], None),
         ([(1, 5.0, 105.0), (1, 6.0, 106.0)], 0.0),
-        ([(1, 5.0, 105.0), (1, 6.0, 108.0)], 2.0 - 3 * FLOOR_RISE_PER_SECOND),
+        ([(1, 5.0, 105.0), (1, 6.0, 108.0)], 2.0 - 3 * OFFSET_RISE_PER_SECOND),
         ([(1, 5.0, 105.0), (1, 6.0, 105.5), (1, 7.0, 107.0)], 0.5 - 0.075),
         ([(1, 5.0, 105.0), (2, 0.0, 106.0)], None),
         ([(1, 5.0, 105.0), (1, 5.0, 147.0), (1, 45.0, 147.1)], 0.0),
@@ -222,13 +227,13 @@
 def test_a_message_is_compared_with_the_quickest_of_its_sender(messages, delay):
     delays = MessageDelays()
     for started, sent_at, now in messages:
-        found = delays.note("h1", started, sent_at, now)
+        found = delays.record_message("h1", started, sent_at, now)
     assert found == (None if delay is None else pytest.approx(delay))
 
 
-def test_delays_of_peers_that_are_gone_are_forgotten():
+def test_delays_of_removed_peers_are_dropped():
     delays = MessageDelays()
-    delays.note("h1", 1, 0.0, 0.0)
-    delays.note("h2", 1, 0.0, 0.0)
-    delays.keep({"h2"})
+    delays.record_message("h1", 1, 0.0, 0.0)
+    delays.record_message("h2", 1, 0.0, 0.0)
+    delays.retain({"h2"})
     assert set(delays.quickest) == {"h2"}
--- a/packages/node/tests/test_gateway_relayed_news.py
+++ b/packages/node/tests/test_gateway_relayed_news.py
@@ -1,4 +1,4 @@
-"""News that some hosts of a large region pass on to the others."""
+"""Updates that some hosts of a large region relay to the others."""
 
 import pytest
 from deployment import async_until
@@ -14,7 +14,7 @@
 
 
 class Answer:
-    """What a host answers to news, after it has taken it in."""
+    """The answer of a host that handles an update."""
 
     def __init__(self, region, url, data):
         self.region = region
@@ -26,7 +26,7 @@
         if self.name in self.region.dead:
             raise ConnectionRefusedError
         receiver = self.region.hosts[self.name]
-        self.answer = await receiver.async_take_news(Request(self.data))
+        self.answer = await receiver.async_handle_update(Request(self.data))
         return self
 
     async def __aexit__(self, *error):
@@ -41,7 +41,7 @@
 
 
 class Region:
-    """Hosts that know of each other and reach each other without a network."""
+    """Hosts that have each other in their tables, connected without a network."""
 
     def __init__(self, dead=()):
         self.dead = set(dead)
@@ -53,13 +53,15 @@
             for other in self.hosts.values():
                 if other is not one:
                     state = HostState(other.own.entry, 1, 0, leaving=False)
-                    one.table.heard[other.own.entry.name] = HeardHost(state, NOW, NOW)
+                    one.table.peers_by_name[other.own.entry.name] = HeardHost(
+                        state, NOW, NOW
+                    )
 
     def post(self, url, data, **_):
         assert url.endswith(NEWS_PATH)
         return Answer(self, url, data)
 
-    def learn(self, name, before, revision):
+    def apply_change(self, name, before, revision):
         watcher = self.hosts[name]
         item = StoredItem("zone-a", b"", revision)
         watcher.view.apply(Changes((item,), revision), NOW)
@@ -70,31 +72,31 @@
 
 
 @pytest.mark.parametrize("lost", [0, 1, 3])
-async def test_all_hosts_hear_of_a_change_though_some_that_pass_it_on_are_gone(lost):
-    """Guards against a part of a region that goes on with old news."""
+async def test_all_hosts_get_a_change_though_some_relays_are_dead(lost):
+    """Guards against dead relays that leave part of a region with an old view."""
     region = Region()
-    region.learn("h0", 0, 5)
+    region.apply_change("h0", 0, 5)
     await async_until(lambda: len(region.informed()) == HOSTS)
     relays = region.messages[:lost]
     region = Region(dead=relays)
-    region.learn("h0", 0, 5)
+    region.apply_change("h0", 0, 5)
     await async_until(lambda: len(region.informed()) == HOSTS - len(relays))
     assert not set(relays) & set(region.informed())
 
 
-async def test_a_host_that_lacks_older_news_leaves_passing_on_to_the_watcher():
-    """Guards against a host that has just started and tells others nothing."""
+async def test_a_relay_that_lacks_older_changes_leaves_notifying_to_the_watcher():
+    """Guards against a relay that has just started and notifies no other host."""
     region = Region()
     for one in region.hosts.values():
         one.view.apply(Changes((StoredItem("zone-b", b"", 2),), 2), NOW)
-    region.learn("h0", 2, 5)
+    region.apply_change("h0", 2, 5)
     await async_until(lambda: len(region.informed()) == HOSTS)
     relay = region.messages[0]
     region = Region()
     for name, one in region.hosts.items():
         if name != relay:
             one.view.apply(Changes((StoredItem("zone-b", b"", 2),), 2), NOW)
-    region.learn("h0", 2, 5)
+    region.apply_change("h0", 2, 5)
     await async_until(lambda: len(region.informed()) >= HOSTS - 1)
 
 
@@ -105,7 +107,7 @@
     region.hosts["h0"].notifier.notify = lambda *words: (
         sent.append(words) or notify(*words)
     )
-    region.learn("h0", 0, 5)
+    region.apply_change("h0", 0, 5)
     await async_until(lambda: len(region.informed()) == HOSTS)
     assert len(sent) <= 1.2 * HOSTS**0.5
     assert len(region.messages) == HOSTS - 1
