--- a/packages/node/greengagepoint_node/gateway/call.py
+++ b/packages/node/greengagepoint_node/gateway/call.py
@@ -1,4 +1,4 @@
-"""One caller's request, as far as its headers tell."""
+"""Parse a request into a call: route, affinity key, deadline and regions."""
 
 from collections.abc import Callable
 from typing import Final, NamedTuple
@@ -11,20 +11,21 @@
 from greengagepoint_node.gateway.names import HeaderNames
 from greengagepoint_node.gateway.refusals import OLD_NEWS_RETRY_SECONDS, Refusal
 
-# A caller's clock started 3 ms before the request came, and the answer needs as long.
+# The caller's deadline starts about 3 ms before the request arrives, and the answer
+# takes as long to reach the caller.
 ANSWER_MARGIN_SECONDS: Final = 0.01
 DEADLINE_DEFAULT_SECONDS: Final = 10.0
-# Of a name or path that no route knows; callers choose how long they are.
+# Host names and paths without a route are cut to this, as callers choose their length.
 LOGGED_CHARACTERS_MAX: Final = 100
-# Only another configuration can give such a request a place.
+# Only a new configuration can make such a request routable.
 NO_REGION_SECONDS: Final = 5.0
 
 
 class Call(NamedTuple):
-    """One caller's request; times are monotonic seconds.
+    """A parsed request; times are monotonic seconds.
 
-    ``key`` names the object that the request concerns, for routes with affinity.
-    ``account`` is None for a caller that needs none, and has not shown one.
+    ``key`` is the affinity key, for routes with affinity. ``account`` is None for a
+    caller that needs no account and has sent no valid key.
     """
 
     request_id: str
@@ -39,7 +40,7 @@
 
     @property
     def rank(self) -> int:
-        """Return the order under overload, 0 first; an account's goes first."""
+        """Return the priority under overload, 0 first; the account's rank wins."""
         if self.account is not None and self.account.rank is not None:
             return self.account.rank
         return self.route.rank
@@ -50,19 +51,19 @@
 ) -> Route:
     """Return the route of a request, or raise Refusal.
 
-    A host whose news is old can't tell a wrong request from a route that it has yet to
-    hear of. Callers do not send a 404 again; after a 503 they try another host.
+    A host whose configuration may be outdated answers 503 instead of 404: the route
+    may be new, and callers try another host after a 503 but don't retry a 404.
     """
     route = find_route(table, request.host, request.rel_url.raw_path)
     if route is not None:
         return route
-    reason = f"no route, configuration {table.version}"
+    reason = f"no route matches in configuration {table.version}"
     inputs = {
         "authority": request.host[:LOGGED_CHARACTERS_MAX],
         "path": request.rel_url.raw_path[:LOGGED_CHARACTERS_MAX],
     }
     if not is_current():
-        reason += ", which may be old"
+        reason += ", which may be outdated"
         retry_after = OLD_NEWS_RETRY_SECONDS
         raise Refusal(ErrorKind.NOT_READY, 503, reason, retry_after, inputs)
     raise Refusal(ErrorKind.UNKNOWN_SERVICE, 404, reason, inputs=inputs)
@@ -98,7 +99,10 @@
 
 
 def home_regions(route: Route, account: Account | None) -> frozenset[str]:
-    """Return where a request has to stay; raise Refusal where no region is left."""
+    """Return the regions a request must stay in; empty if unrestricted.
+
+    Raise Refusal if the route and the account allow no common region.
+    """
     if account is None or not account.home_regions:
         return route.home_regions
     if not route.home_regions:
@@ -111,7 +115,7 @@
 
 
 def read_cookie(request: web.BaseRequest, name: str) -> str | None:
-    """Return a cookie's value, read without building all cookies."""
+    """Return a cookie's value without parsing all cookies, or None."""
     for header in request.headers.getall("Cookie", ()):
         for part in header.split(";"):
             key, _, value = part.strip().partition("=")
@@ -121,7 +125,7 @@
 
 
 def _deadline_seconds(text: str | None) -> float:
-    """Return how long the caller waits."""
+    """Return the caller's deadline in seconds, or the default if it is invalid."""
     if text is None or not text.isdigit():
         return DEADLINE_DEFAULT_SECONDS
     return int(text) / 1000
--- a/packages/node/greengagepoint_node/gateway/caller_accounts.py
+++ b/packages/node/greengagepoint_node/gateway/caller_accounts.py
@@ -1,4 +1,4 @@
-"""Tell whose request it is, and whether its account may go on asking."""
+"""Authenticate callers by key and enforce the request limits of their accounts."""
 
 from collections.abc import Callable
 from typing import Final
@@ -18,16 +18,16 @@
 
 
 class CallerAccounts:
-    """Identify callers by their keys, and hold accounts to their limits.
+    """Identify callers by their keys and apply account limits.
 
-    ``revoke_seconds`` is for how long a key may work after it was taken away, None
-    where a host that hears of nothing need not know. No key leaves this class, nor
-    anything that a key could be found from.
+    ``revoke_seconds`` is how long a revoked key may still work; None if a host may go
+    on without updates. Keys, and values from which a key could be derived, never leave
+    this class.
     """
 
     def __init__(
         self,
-        certainty: Certainty,
+        config_freshness: Certainty,
         gate: AccountGate,
         clock: Clock,
         is_current: Callable[[], bool],
@@ -35,7 +35,7 @@
         counters: GatewayCounters,
         has_accounts: Callable[[], bool],
     ) -> None:
-        self.certainty = certainty
+        self.config_freshness = config_freshness
         self.gate = gate
         self.clock = clock
         self.is_current = is_current
@@ -46,25 +46,26 @@
     def identify(
         self, request: web.BaseRequest, route: Route, table: RouteTable
     ) -> Account | None:
-        """Return a caller's account, None where none is needed; raise Refusal.
+        """Return a caller's account, or None if it needs none.
 
-        The request was sent before this is called, so what is certain now was certain
-        later than it was sent.
+        Raise Refusal if the key is unknown or this host can't verify keys. Freshness is
+        checked after the request was sent, so a key that was revoked ``revoke_seconds``
+        before the request is never accepted.
         """
         if not table.accounts:
             return None
         account = table.accounts.by_key.get(read_key(request) or "")
-        certain = self._is_certain()
+        can_verify = self._can_verify_keys()
         if route.public:
-            return account if certain else None
-        if not certain:
-            raise self._uncertain(table)
+            return account if can_verify else None
+        if not can_verify:
+            raise self._stale_keys_rejection(table)
         if account is None:
-            raise self._unknown_key(table)
+            raise self._unknown_key_rejection(table)
         return account
 
     def admit(self, account: Account) -> None:
-        """Count a request of an account; raise Refusal where it is over its limit."""
+        """Count a request of an account; raise Refusal if it is over its limit."""
         admission = self.gate.admit(account, self.clock.monotonic())
         self.counters.add_account(account.name, admitted=admission.admitted)
         if admission.admitted:
@@ -81,38 +82,38 @@
         raise Refusal(ErrorKind.ACCOUNT_LIMIT, 429, reason, retry_after, inputs)
 
     def serves_keys(self) -> bool:
-        """Tell whether callers that need a key are served here."""
-        return not self.has_accounts() or self._is_certain()
+        """Return True if this host can serve callers that need a key."""
+        return not self.has_accounts() or self._can_verify_keys()
 
-    def _is_certain(self) -> bool:
-        """Tell whether no key of the configuration was taken away too long ago."""
+    def _can_verify_keys(self) -> bool:
+        """Return True if the configuration is recent enough to honor revocations."""
         if self.revoke_seconds is None:
             return True
-        return self.certainty.holds(self.clock.monotonic(), self.revoke_seconds)
+        return self.config_freshness.holds(self.clock.monotonic(), self.revoke_seconds)
 
-    def _uncertain(self, table: RouteTable) -> Refusal:
-        """Return the refusal while this host can't know which keys still hold."""
-        reason = f"keys of configuration {table.version} may have been taken away"
-        age = self.certainty.age(self.clock.monotonic())
+    def _stale_keys_rejection(self, table: RouteTable) -> Refusal:
+        """Return the refusal while keys of the configuration may have been revoked."""
+        reason = f"keys of configuration {table.version} may have been revoked"
+        age = self.config_freshness.age(self.clock.monotonic())
         inputs = {"certainty_age": _rounded(age)}
         kind, retry_after = ErrorKind.NOT_READY, OLD_NEWS_RETRY_SECONDS
         return Refusal(kind, 503, reason, retry_after, inputs)
 
-    def _unknown_key(self, table: RouteTable) -> Refusal:
-        """Return the refusal of a key that no account holds.
+    def _unknown_key_rejection(self, table: RouteTable) -> Refusal:
+        """Return the refusal of a key that belongs to no account.
 
-        A host whose news is old may have yet to hear of the key. Callers do not send a
-        401 again; after a 503 they try another host.
+        A host whose configuration may be outdated answers 503 instead of 401: the key
+        may be new, and callers try another host after a 503 but don't retry a 401.
         """
-        reason = f"no account holds the key, configuration {table.version}"
+        reason = f"no account has this key in configuration {table.version}"
         if self.is_current():
             return Refusal(ErrorKind.UNAUTHENTICATED, 401, reason)
-        reason += ", which may be old"
+        reason += ", which may be outdated"
         return Refusal(ErrorKind.NOT_READY, 503, reason, OLD_NEWS_RETRY_SECONDS)
 
 
 def read_key(request: web.BaseRequest) -> str | None:
-    """Return the key that a request carries, None where it does not carry just one."""
+    """Return the bearer key of a request, or None unless it has exactly one."""
     values = request.headers.getall(hdrs.AUTHORIZATION, ())
     if len(values) != 1:
         return None
@@ -121,7 +122,7 @@
 
 
 def _rounded(value: float | None) -> float | None:
-    """Return a number for a log line, None where it is not finite."""
+    """Return a rounded number for a log line, or None if it is not finite."""
     if value is None or value in (float("inf"), float("-inf")):
         return None
     return round(value, 3)
--- a/packages/node/greengagepoint_node/gateway/connect_times.py
+++ b/packages/node/greengagepoint_node/gateway/connect_times.py
@@ -1,4 +1,4 @@
-"""Measure how long a client session's connections take."""
+"""Measure the connection times of a client session."""
 
 import asyncio
 from types import SimpleNamespace
@@ -11,7 +11,7 @@
 
 
 def trace_connections(link: LinkDelay, clock: Clock) -> aiohttp.TraceConfig:
-    """Return a trace that tells ``link`` of each connection, also of failed ones."""
+    """Return a trace config that reports connection times and failures to ``link``."""
 
     async def async_begin(_: Any, context: SimpleNamespace, __: Any) -> None:
         context.began_at = clock.monotonic()
@@ -30,10 +30,10 @@
         if began_at is None:
             return
         now = clock.monotonic()
-        given_up = isinstance(params.exception, asyncio.CancelledError)
-        if given_up and now - began_at < FULL_SECONDS:
-            # A caller has left. On a full link the connection would have taken longer;
-            # taken for a quick one, it would make the link look free.
+        abandoned = isinstance(params.exception, asyncio.CancelledError)
+        if abandoned and now - began_at < FULL_SECONDS:
+            # The caller disconnected. On a saturated link the connection would have
+            # taken longer; counted as a fast one, it would make the link look free.
             return
         link.note(now - began_at, now)
 
--- a/packages/node/greengagepoint_node/gateway/end_checks.py
+++ b/packages/node/greengagepoint_node/gateway/end_checks.py
@@ -1,39 +1,39 @@
-"""Tell a backend server that has ended from a connection that broke."""
+"""Distinguish a crashed backend server from a broken connection."""
 
 import asyncio
 from typing import Final
 
 from greengagepoint.placing.tables import Incarnation, Server
 
-CHECK_SECONDS: Final = 0.3
+CHECK_TIMEOUT_SECONDS: Final = 0.3
 
 
-class EndChecks:
-    """Connect to servers whose connections broke, once for all requests of a moment.
+class CrashChecks:
+    """Probe servers whose connections broke, with one probe for concurrent requests.
 
-    Servers also reset connections over their limit, cut answers off and close what is
-    idle. Only one that no longer listens has ended.
+    Healthy servers also reset connections over their limit, truncate answers and close
+    idle connections. Only a server that no longer listens has crashed.
     """
 
     def __init__(self) -> None:
         self.running: dict[Incarnation, asyncio.Task[bool]] = {}
 
-    async def async_has_ended(self, server: Server) -> bool:
-        """Tell whether nothing listens at a server's address now."""
+    async def async_has_crashed(self, server: Server) -> bool:
+        """Return True if nothing listens at the server's address."""
         check = self.running.get(server.incarnation)
         if check is None:
             check = asyncio.create_task(_async_is_refused(server.address))
             self.running[server.incarnation] = check
             check.add_done_callback(lambda _: self.running.pop(server.incarnation))
-        # The check goes on for other requests when this one's caller leaves.
+        # Shielded, as other requests may wait for the check when this one is cancelled.
         return await asyncio.shield(check)
 
 
 async def _async_is_refused(address: str) -> bool:
-    """Tell whether a connection is refused; one that hangs proves nothing."""
+    """Return True if a connection is refused; a timeout proves no crash."""
     host, _, port = address.rpartition(":")
     try:
-        async with asyncio.timeout(CHECK_SECONDS):
+        async with asyncio.timeout(CHECK_TIMEOUT_SECONDS):
             _, writer = await asyncio.open_connection(host, int(port))
     except ConnectionRefusedError:
         return True
--- a/packages/node/greengagepoint_node/gateway/exchange.py
+++ b/packages/node/greengagepoint_node/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One try at a backend server: send the request, read and check the whole answer."""
+"""Make one attempt: send a request to a server, then read and check its answer."""
 
 import asyncio
 from collections.abc import Callable
@@ -22,16 +22,16 @@
     SpoiltConnectionError,
 )
 
-# The longest body that is read whole before the caller sees any of it. Longer ones are
-# cut off visibly when they break.
+# Longest body that is buffered whole before the caller gets any of it. Longer bodies
+# that break off are truncated in a way that the caller can see.
 WHOLE_BODY_BYTES: Final = 2 * 1024 * 1024
 MISDIRECTED: Final = 421
-# Below this a backend server could not run anything.
+# A backend server can't finish any request in less time.
 SECONDS_LEFT_MIN: Final = 0.02
 
 
 class Verdict(StrEnum):
-    """What a try says of the request."""
+    """Outcome of an attempt, as far as it matters for the request."""
 
     ANSWERED = "answered"
     SHED = "shed"
@@ -58,7 +58,7 @@
 
 
 class Exchange(NamedTuple):
-    """The end of one try; the answer's parts are set when it may be passed on."""
+    """Result of one attempt; the answer's fields are set if it can be relayed."""
 
     verdict: Verdict
     detail: str = ""
@@ -71,9 +71,9 @@
 
 
 class TimeLeft(NamedTuple):
-    """When a request's time ends, in monotonic seconds, and by which clock.
+    """Deadline of a request in monotonic seconds of ``clock``.
 
-    ``header`` names the one that tells a backend server its milliseconds.
+    ``header`` is the header that passes the remaining milliseconds to a server.
     """
 
     header: str
@@ -81,15 +81,15 @@
     ends_at: float
 
     def seconds(self) -> float:
-        """Return the seconds that are left now."""
+        """Return the remaining seconds."""
         return self.ends_at - self.clock.monotonic()
 
 
-class Sending:
-    """What is sent, and the time for it in seconds.
+class OutgoingRequest:
+    """A request for one server, with the attempt's timeout in ``seconds``.
 
-    ``withhold`` returns why the server may not get it any more, ``withheld`` is why it
-    got nothing; None otherwise.
+    ``check_before_send`` returns the result of an attempt that must not be sent any
+    more, or None. ``unsent_result`` holds that result.
     """
 
     def __init__(
@@ -102,7 +102,7 @@
         seconds: float,
         time_left: TimeLeft,
         times: SendTimes,
-        withhold: Callable[[], Exchange | None],
+        check_before_send: Callable[[], Exchange | None],
     ) -> None:
         self.method = method
         self.target = target
@@ -112,86 +112,89 @@
         self.seconds = seconds
         self.time_left = time_left
         self.times = times
-        self.withhold = withhold
-        self.withheld: Exchange | None = None
+        self.check_before_send = check_before_send
+        self.unsent_result: Exchange | None = None
         self.limit: asyncio.Timeout | None = None
         self.successor: Server | None = None
 
-    def may_start(self) -> bool:
-        """Write what is left into the headers; tell whether to send at all.
+    def prepare_to_send(self) -> bool:
+        """Write the remaining time into the headers; return False if not to be sent.
 
-        On a full link a connection takes up to its limit of 0.6 s. The host may hear
-        meanwhile that the server leaves or that its zone is emptied; sent all the same,
-        the request would come too late and be cut off with the server's exit.
+        On a saturated link, connecting takes up to its timeout of 0.6 s. If the server
+        starts to leave or its zone is evacuated in the meantime, the request would
+        arrive too late and be lost when the server exits.
         """
         left = self.time_left.seconds()
         if left < SECONDS_LEFT_MIN:
-            self.withheld = Exchange(Verdict.LAPSED, "no time was left to send")
+            self.unsent_result = Exchange(Verdict.LAPSED, "no time was left to send")
         else:
-            self.withheld = self.withhold()
-        if self.withheld is not None:
+            self.unsent_result = self.check_before_send()
+        if self.unsent_result is not None:
             return False
         self.headers[self.time_left.header] = str(int(left * 1000))
-        self.times.note_sent()
+        self.times.mark_sent()
         return True
 
     @property
     def is_sent(self) -> bool:
-        """Tell whether a server may have got any of it."""
+        """Return True if a server may have received any part of it."""
         return self.times.sent_at is not None
 
-    def give_up_for(self, successor: Server) -> None:
-        """End the exchange now, as if its time were over, for another server."""
+    def abandon_for(self, successor: Server) -> None:
+        """Time out this attempt now, so that the request goes to ``successor``."""
         if self.limit is not None and not self.limit.expired():
             self.successor = successor
             self.limit.reschedule(asyncio.get_running_loop().time())
 
 
 class SendInTime(SendOnce):
-    """Send while time is left, and tell the server how much.
+    """Send before the deadline and pass the remaining time to the server.
 
-    A connection may first have to be opened. Told what was left before, the server
-    would work on for a caller who has given up.
+    It is computed after connecting: a value from before would make the server work on
+    after the caller has timed out.
     """
 
-    def __init__(self, sending: Sending, server: Incarnation) -> None:
-        super().__init__(sending.may_start, server)
-        self.sending = sending
+    def __init__(self, outgoing: OutgoingRequest, server: Incarnation) -> None:
+        super().__init__(outgoing.prepare_to_send, server)
+        self.outgoing = outgoing
 
     async def __call__(
         self, request: BackendRequest, handler: aiohttp.ClientHandlerType
     ) -> aiohttp.ClientResponse:
-        """Send the request through the rest of the client."""
-        self.sending.headers = request.headers
+        """Send the request through the remaining client middlewares."""
+        self.outgoing.headers = request.headers
         return await super().__call__(request, handler)
 
 
 async def async_exchange(
-    sessions: BackendSessions, names: HeaderNames, server: Server, sending: Sending
+    sessions: BackendSessions,
+    names: HeaderNames,
+    server: Server,
+    outgoing: OutgoingRequest,
 ) -> Exchange:
-    """Send a request once and return how it ended."""
+    """Send a request once and return the result."""
     try:
-        async with asyncio.timeout(sending.seconds) as sending.limit:
+        async with asyncio.timeout(outgoing.seconds) as outgoing.limit:
             answer = await sessions.session.request(
-                sending.method,
-                _url(server.address, sending.target),
-                headers=sending.headers,
-                data=sending.body,
+                outgoing.method,
+                _url(server.address, outgoing.target),
+                headers=outgoing.headers,
+                data=outgoing.body,
                 allow_redirects=False,
-                middlewares=(SendInTime(sending, server.incarnation),),
+                middlewares=(SendInTime(outgoing, server.incarnation),),
             )
             try:
-                return await _async_read(names, answer, sending)
+                return await _async_read(names, answer, outgoing)
             except BaseException:
                 answer.close()
                 raise
     except aiohttp.ConnectionTimeoutError as error:
         return Exchange(Verdict.UNREACHABLE, type(error).__name__)
     except LapsedError:
-        assert sending.withheld is not None
-        return sending.withheld
+        assert outgoing.unsent_result is not None
+        return outgoing.unsent_result
     except TimeoutError:
-        if not sending.is_sent:
+        if not outgoing.is_sent:
             return Exchange(Verdict.LAPSED, "the time ended while connecting")
         return Exchange(Verdict.TIMED_OUT, "no whole answer in time")
     except (aiohttp.ClientConnectorError, SpoiltConnectionError) as error:
@@ -201,20 +204,20 @@
 
 
 async def _async_read(
-    names: HeaderNames, answer: aiohttp.ClientResponse, sending: Sending
+    names: HeaderNames, answer: aiohttp.ClientResponse, outgoing: OutgoingRequest
 ) -> Exchange:
-    """Read an answer whole and judge it."""
+    """Read a whole answer and return the result with its verdict."""
     headers = answer.headers
     load = headers.get(names.load)
     echoed = headers.get(names.request_id)
-    if echoed is not None and echoed != sending.request_id:
+    if echoed is not None and echoed != outgoing.request_id:
         # A server that answers a request twice leaves the second answer on the
-        # connection; the next caller would get it in place of its own.
+        # connection, where it would be read as the answer to the next request.
         answer.close()
         return Exchange(Verdict.FOREIGN, "the answer names another request")
     if names.not_executed in headers or answer.status == MISDIRECTED:
         verdict = Verdict.SHED if answer.status != MISDIRECTED else Verdict.OTHER_SERVER
-        retry_after = _seconds(headers.get("Retry-After"))
+        retry_after = _parse_seconds(headers.get("Retry-After"))
         await answer.read()
         return Exchange(
             verdict, f"status {answer.status}", load=load, retry_after=retry_after
@@ -229,14 +232,15 @@
     if "Content-Encoding" in headers or answer.status < 200:
         answer.close()
         return Exchange(Verdict.BROKEN, "the answer is encoded or not final")
-    # Asked for where it is needed only: a future that nobody reads makes the loop write
-    # a trace of twelve lines for each connection that ends with an error.
-    framed = is_framed(answer, sending.method)
+    # Read only if needed: aiohttp creates the future on first access, and one that is
+    # never awaited makes the event loop log a twelve-line traceback for each connection
+    # that ends with an error.
+    framed = is_framed(answer, outgoing.method)
     closed = None if framed else _closed_future(answer)
     body = await answer.read()
     if not framed and _was_reset(closed):
-        # Such a body ends with its connection, and the library takes any end for the
-        # right one; the caller would get a part of it as the whole.
+        # An unframed body ends with its connection. The library accepts any close as
+        # its end, so the caller would get a truncated body as a complete one.
         return Exchange(Verdict.BROKEN, "the connection was reset within the answer")
     return Exchange(
         Verdict.ANSWERED,
@@ -249,21 +253,21 @@
 
 
 def _closed_future(answer: aiohttp.ClientResponse) -> asyncio.Future[None] | None:
-    """Return the future that tells how the answer's connection closed."""
+    """Return the future that is done when the answer's connection closes."""
     connection = answer.connection
     protocol = connection.protocol if connection is not None else None
     return protocol.closed if protocol is not None else None
 
 
 def _was_reset(closed: asyncio.Future[None] | None) -> bool:
-    """Tell whether a connection closed with an error, or nothing is known of it."""
+    """Return True if the connection closed with an error, or has no known end."""
     if closed is None or not closed.done() or closed.cancelled():
         return True
     return closed.exception() is not None
 
 
-def _seconds(text: str | None) -> float | None:
-    """Return the seconds of a header, or None where it holds none."""
+def _parse_seconds(text: str | None) -> float | None:
+    """Return a header's seconds, 0 or more, or None if it is missing or invalid."""
     try:
         return max(0.0, float(text)) if text is not None else None
     except ValueError:
@@ -271,7 +275,7 @@
 
 
 def _url(address: str, target: str) -> URL:
-    """Return the URL of a target, as it was written by the caller."""
+    """Return the URL of a target without changing its encoding."""
     path, _, query = target.partition("?")
     return URL.build(
         scheme="http", authority=address, path=path, query_string=query, encoded=True
--- a/packages/node/greengagepoint_node/gateway/handler.py
+++ b/packages/node/greengagepoint_node/gateway/handler.py
@@ -1,4 +1,4 @@
-"""One request from its first byte to its last."""
+"""Handle caller requests: match, admit, send, retry and answer."""
 
 import asyncio
 from typing import Final
@@ -20,7 +20,7 @@
     NOT_RUN,
     SECONDS_LEFT_MIN,
     Exchange,
-    Sending,
+    OutgoingRequest,
     TimeLeft,
     Verdict,
     async_exchange,
@@ -45,8 +45,8 @@
 )
 from greengagepoint_node.gateway.request_quarantine import RequestQuarantine
 from greengagepoint_node.gateway.send_times import SendTimes
-from greengagepoint_node.gateway.server_ends import ServerEnds
-from greengagepoint_node.gateway.tries import UNSENT, Tries
+from greengagepoint_node.gateway.server_ends import ServerCrashes
+from greengagepoint_node.gateway.tries import UNSENT, Attempts
 from greengagepoint_node.gateway.view import FleetView
 from greengagepoint_node.proxy.sessions import BackendSessions
 
@@ -54,7 +54,7 @@
 
 
 class Gateway:
-    """Match, place, send and answer requests."""
+    """Match requests to routes, send them to backend servers and answer them."""
 
     def __init__(
         self,
@@ -88,24 +88,24 @@
         self.last_request_at = clock.monotonic()
         self.outcomes = Outcomes(view, counters, clock, events)
         self.request_headers = RequestHeaders(names)
-        self.server_ends = ServerEnds(quarantine, self.outcomes)
+        self.server_crashes = ServerCrashes(quarantine, self.outcomes)
 
     async def async_handle(self, request: web.BaseRequest) -> web.Response:
-        """Answer the request of a connection whose turn it is."""
+        """Return the answer to the next request in the order of its connection."""
         connection = request.protocol
         response = await connection.async_answer_in_turn(request)
-        if self.leaving and not connection.early:
-            # A caller that kept this connection would send its next request on it
-            # after the host has stopped, and see it cut off. Requests that were begun
-            # behind this one are answered first.
+        if self.leaving and not connection.early_answers:
+            # A caller that reuses this connection could send its next request after
+            # the host has stopped, and get no answer. Pipelined requests that were
+            # started behind this one are answered before the connection closes.
             response.force_close()
         return response
 
-    def may_begin_early(self, request: web.BaseRequest) -> bool:
-        """Tell whether a request without a body may run beside those before it.
+    def can_start_early(self, request: web.BaseRequest) -> bool:
+        """Return True if a request may run in parallel to earlier ones.
 
-        One that runs once at most must not: its caller sends it again when the
-        connection closes before its turn.
+        It must have no body and be repeatable: callers resend pipelined requests that
+        were not answered before the connection closed, so others could run twice.
         """
         table = self.view.routes
         if table is None or request.can_read_body:
@@ -116,10 +116,10 @@
     async def async_answer(
         self, request: web.BaseRequest, arrived_at: float
     ) -> web.Response:
-        """Return the answer to a request, counted as one in flight meanwhile.
+        """Return the answer to a request and count it as in flight until then.
 
-        ``arrived_at`` are the monotonic seconds at which its first byte came; its
-        deadline and all that is told of its duration count from there.
+        ``arrived_at`` is the arrival of its first byte in monotonic seconds. Its
+        deadline and all logged and counted durations start there.
         """
         self.in_flight += 1
         try:
@@ -128,7 +128,7 @@
             self.in_flight -= 1
 
     def is_quiet(self, seconds: float) -> bool:
-        """Tell whether nothing is in flight and no request came for some seconds."""
+        """Return True if nothing is in flight and the last request is older."""
         return (
             not self.in_flight
             and self.clock.monotonic() - self.last_request_at >= seconds
@@ -137,7 +137,7 @@
     async def _async_answer(
         self, request: web.BaseRequest, arrived_at: float
     ) -> web.Response:
-        """Answer a request, also where it fails."""
+        """Return the answer to a request, or an error response if it fails."""
         request_id = request.headers.get(self.names.request_id, "")
         now = self.last_request_at = self.clock.monotonic()
         call: Call | None = None
@@ -155,25 +155,25 @@
             return response
         except Refusal as refusal:
             outcome = refusal.kind
-            self.outcomes.note_refused(request_id, call, refusal, arrived_at)
+            self.outcomes.log_rejected(request_id, call, refusal, arrived_at)
             return refusal_response(refusal, self.names, request_id)
         except asyncio.CancelledError:
             outcome = ErrorKind.CALLER_CANCELLED
-            self.outcomes.note_cancelled(request_id, call, arrived_at)
+            self.outcomes.log_cancelled(request_id, call, arrived_at)
             raise
         finally:
-            self.outcomes.note_end(call, outcome, arrived_at)
+            self.outcomes.count_request(call, outcome, arrived_at)
 
     def _parse(
         self, request: web.BaseRequest, request_id: str, arrived_at: float
     ) -> Call:
-        """Return the call that a request makes, or raise Refusal."""
+        """Return the parsed and admitted call, or raise Refusal."""
         table = self.view.routes
         if table is None:
-            reason = "no configuration is known yet"
+            reason = "no configuration has been loaded yet"
             raise Refusal(ErrorKind.NOT_READY, 503, reason, NOT_READY_SECONDS)
         if not request_id:
-            raise Refusal(ErrorKind.BAD_REQUEST, 400, "the request has no id")
+            raise Refusal(ErrorKind.BAD_REQUEST, 400, "the request has no request id")
         route = match_route(table, request, self.news.is_current)
         account = self.accounts.identify(request, route, table)
         if account is not None:
@@ -182,66 +182,68 @@
         return create_call(request, self.names, route, service, arrived_at, account)
 
     async def _async_body(self, request: web.BaseRequest, call: Call) -> bytes | None:
-        """Return the caller's body whole, None where there is none."""
+        """Return the whole request body, or None if there is none."""
         if not request.can_read_body:
             return None
         assert self.view.routes is not None
         left = call.ends_at - self.clock.monotonic()
         limit_bytes = self.view.routes.limits.body_bytes
         body = await async_read_body(request, left, limit_bytes)
-        # A key may have been taken away while a slow body came.
+        # The key may have been revoked while a slow body was received.
         self.accounts.identify(request, call.route, self.view.routes)
         return body
 
     async def _async_serve(
         self, request: web.BaseRequest, call: Call, body: bytes | None
     ) -> web.Response:
-        """Try servers until one answers or the request may not be sent again."""
+        """Send to servers until one answers or no retry is allowed."""
         self.placer.take_caller()
         identity = RequestIdentity(request, body, call.account)
-        tries = Tries()
+        attempts = Attempts()
         last: Exchange | None = None
         may_have_run = False
         server: Server | None = None
-        while tries.may_go_on(call.route.attempts_max):
+        while attempts.has_attempts_left(call.route.attempts_max):
             left = call.ends_at - self.clock.monotonic()
             if left < SECONDS_LEFT_MIN:
                 break
-            standing = self.quarantine.admit(identity, first=not tries.servers)
+            standing = self.quarantine.admit(identity, first=not attempts.servers)
             if not standing.may_run:
                 break
             if standing.alone:
-                # Requests of its key use other servers, so the next end or answer tells
-                # it from them.
+                # Use a server other than those of its affinity key, so that the next
+                # crash or answer is due to this request and not to others of the key.
                 call = call._replace(key=identity.fingerprint.content)
                 server = None
             if server is None:
-                server = self.next_server(call, tries, last and last.verdict)
+                server = self.next_server(call, attempts, last and last.verdict)
             if server is None:
                 break
-            tries.begin(server.incarnation)
-            sending = self._sending(request, call, body, server, left)
+            attempts.begin(server.incarnation)
+            outgoing = self._create_outgoing(request, call, body, server, left)
             with self.quarantine.trial(identity, standing):
-                last = await self._async_send(call, identity, server, sending, tries)
-            tries.end(last.verdict)
+                last = await self._async_send(
+                    call, identity, server, outgoing, attempts
+                )
+            attempts.end(last.verdict)
             if last.verdict is Verdict.ANSWERED:
-                self.outcomes.note_answered(call, last, server, len(tries.servers))
+                self.outcomes.record_answered(call, last, server, len(attempts.servers))
                 return answer_response(last)
             may_have_run = may_have_run or last.verdict not in NOT_RUN
             if may_have_run and not call.route.repeatable:
                 break
-            server = sending.successor
+            server = outgoing.successor
         raise no_answer(last, may_have_run=may_have_run)
 
     def next_server(
-        self, call: Call, tries: Tries, last: Verdict | None
+        self, call: Call, attempts: Attempts, last: Verdict | None
     ) -> Server | None:
-        """Return where to send a request next, None where it is not sent again.
+        """Return the next server for a request, or None if it is not retried.
 
-        ``last`` is how its last try ended. Raise Refusal where it can't be sent even
-        once.
+        ``last`` is the verdict on its last attempt. Raise Refusal if it can't be sent
+        at all.
         """
-        tried = frozenset(tries.servers)
+        tried = frozenset(attempts.servers)
         if not self.guard.may_send():
             if tried:
                 return None
@@ -252,16 +254,15 @@
                 raise no_place(call.service, place)
             self.retries.deposit(call.service, self.clock.monotonic())
             return place
-        if isinstance(place, NoPlace) or not self._may_send_again(call, last):
+        if isinstance(place, NoPlace) or not self._withdraw_retry(call, last):
             return None
         return place
 
-    def _may_send_again(self, call: Call, last: Verdict | None) -> bool:
-        """Take what one more send uses up of the shared budget.
+    def _withdraw_retry(self, call: Call, last: Verdict | None) -> bool:
+        """Withdraw one retry from the shared budget; return False if it is empty.
 
-        A try of which no server got anything has used up nothing, so one more is the
-        first that does. Counted all the same, the tries at a crashed server used up the
-        budget in the second in which it was needed most.
+        An attempt that delivered nothing to a server is free: otherwise connection
+        attempts to a crashed server would drain the budget just when it is needed.
         """
         if last in UNSENT:
             return True
@@ -274,36 +275,43 @@
             shed=last is Verdict.SHED,
         )
 
-    def _sending(
+    def _create_outgoing(
         self,
         request: web.BaseRequest,
         call: Call,
         body: bytes | None,
         server: Server,
         left: float,
-    ) -> Sending:
-        """Return what is sent to a server."""
+    ) -> OutgoingRequest:
+        """Return the request to send to a server."""
         assert self.view.routes is not None
         times = SendTimes(self.clock, self.news)
-        keyed = bool(self.view.routes.accounts)
-        return Sending(
+        has_accounts = bool(self.view.routes.accounts)
+        return OutgoingRequest(
             request.method,
             call.target,
-            self.request_headers.passed_on(request, server, call, keyed=keyed),
+            self.request_headers.backend_headers(
+                request, server, call, has_accounts=has_accounts
+            ),
             body,
             call.request_id,
             left,
             TimeLeft(self.names.deadline_ms, self.clock, call.ends_at),
             times,
-            lambda: self._withheld(server, times),
+            lambda: self._check_before_send(server, times),
         )
 
-    def _withheld(self, server: Server, times: SendTimes) -> Exchange | None:
-        """Return why a server may not get a request whose first byte could go now."""
+    def _check_before_send(self, server: Server, times: SendTimes) -> Exchange | None:
+        """Return why the request must not be sent after all, or None.
+
+        Called when the connection is open, right before the first byte.
+        """
         if not self.view.servers.is_member(server):
             return Exchange(Verdict.LEFT, "the server left while connecting")
         if not self.guard.may_send(self.clock.monotonic() - times.chosen_at):
-            return Exchange(Verdict.OLD_NEWS, "the news got too old while connecting")
+            return Exchange(
+                Verdict.OLD_NEWS, "the host's view became too old while connecting"
+            )
         return None
 
     async def _async_send(
@@ -311,42 +319,42 @@
         call: Call,
         identity: RequestIdentity,
         server: Server,
-        sending: Sending,
-        tries: Tries,
+        outgoing: OutgoingRequest,
+        attempts: Attempts,
     ) -> Exchange:
-        """Send the request to one server and learn what that says of the request."""
+        """Make one attempt and update the request's quarantine state."""
         try:
-            exchange = await self._async_try(call, server, sending, tries)
+            exchange = await self._async_try(call, server, outgoing, attempts)
         except asyncio.CancelledError:
-            if sending.is_sent:
-                self.server_ends.note_abandoned(call, identity, server)
+            if outgoing.is_sent:
+                self.server_crashes.watch_abandoned(call, identity, server)
             raise
         if exchange.verdict is Verdict.ANSWERED:
             self.quarantine.note_answer(identity)
         elif exchange.verdict is Verdict.BROKEN:
-            await self.server_ends.async_note_broken(call, identity, server)
+            await self.server_crashes.async_handle_broken(call, identity, server)
         return exchange
 
     async def _async_try(
         self,
         call: Call,
         server: Server,
-        sending: Sending,
-        tries: Tries,
+        outgoing: OutgoingRequest,
+        attempts: Attempts,
     ) -> Exchange:
-        """Send the request to one server and learn from how that ends."""
+        """Make one attempt and update the server's load and failure state."""
         began = self.clock.monotonic()
         waited = server.expected_wait(began)
         server.in_flight += 1
-        overdue = OverdueWatch(self, call, server, sending, tries)
+        overdue = OverdueWatch(self, call, server, outgoing, attempts)
         try:
-            exchange = await async_exchange(self.sessions, self.names, server, sending)
+            exchange = await async_exchange(self.sessions, self.names, server, outgoing)
         finally:
             overdue.cancel()
             server.in_flight -= 1
         now = self.clock.monotonic()
         self.placer.learn(call, server, exchange, now - began, waited, now)
-        number = len(tries.servers)
-        self.outcomes.note_sent(call, server, sending.times)
-        self.outcomes.note_try(call, server, exchange, number, now - began)
+        number = len(attempts.servers)
+        self.outcomes.record_send(call, server, outgoing.times)
+        self.outcomes.record_attempt(call, server, exchange, number, now - began)
         return exchange
--- a/packages/node/greengagepoint_node/gateway/identity.py
+++ b/packages/node/greengagepoint_node/gateway/identity.py
@@ -1,4 +1,4 @@
-"""Tell one caller's request from all others, over attempts and hosts."""
+"""Identify a request across its retries and across hosts."""
 
 from functools import cached_property
 
@@ -17,7 +17,7 @@
 
 
 class RequestIdentity:
-    """Compute a request's fingerprint only where it is asked for."""
+    """Compute the fingerprint of a request on first use."""
 
     def __init__(
         self,
@@ -31,19 +31,20 @@
 
     @cached_property
     def head(self) -> str:
-        """Return the hash of all of the content but the body."""
+        """Return the hash of the authority, method and target, without the body."""
         request = self.request
         authority = host_name(request.host)
         return hash_head(authority, request.method, request.rel_url.raw_path_qs)
 
     @cached_property
     def fingerprint(self) -> Fingerprint:
-        """Return what the request has in common with its other attempts."""
+        """Return the fingerprint, equal for all retries of the same request."""
         request = self.request
         names = CREDENTIALS
         values = []
         if self.account is not None:
-            # The hash is logged and told to peers, and may be searched for a key.
+            # The hash is logged and sent to peers. Hashing the account name instead of
+            # the key keeps the key from being found by brute force.
             names = (hdrs.COOKIE,)
             values = [self.account.name]
         values += [
--- a/packages/node/greengagepoint_node/gateway/names.py
+++ b/packages/node/greengagepoint_node/gateway/names.py
@@ -1,4 +1,4 @@
-"""Names of the headers that callers and backend servers use on a platform."""
+"""Names of the platform-specific headers of callers and backend servers."""
 
 from typing import NamedTuple
 
@@ -6,9 +6,9 @@
 class HeaderNames(NamedTuple):
     """Header names; ``affinity_cookie`` is the name of a cookie.
 
-    ``account`` tells backend servers whose request it is. ``signature`` is on whole
-    answers only; ``not_executed`` on those that tell that
-    nothing ran; ``load`` holds running, waiting, slots.
+    ``account`` passes the caller's account to backend servers. ``signature`` is only
+    on complete answers, ``not_executed`` on answers to requests that were not run.
+    ``load`` holds the numbers of running and waiting requests and of slots.
     """
 
     request_id: str
--- a/packages/node/greengagepoint_node/gateway/outcomes.py
+++ b/packages/node/greengagepoint_node/gateway/outcomes.py
@@ -1,4 +1,4 @@
-"""Log and count how requests and their tries end."""
+"""Log and count the outcomes of requests and of their attempts."""
 
 import math
 from typing import Final
@@ -18,18 +18,18 @@
 from greengagepoint_node.gateway.send_times import SendTimes
 from greengagepoint_node.gateway.view import FleetView
 
-# One request in so many is logged when all went well; which ones depends on the id
-# alone, so all hosts keep the same requests.
-SAMPLED_ONE_IN: Final = 64
-# A first byte that waits longer takes a good part of the time in which a leaving server
-# still serves.
+# One of this many successful requests is logged. The choice depends only on the request
+# id, so all hosts log the same requests.
+SAMPLING_INTERVAL: Final = 64
+# Longer delays of the first byte use up much of the time in which a leaving server
+# still accepts requests.
 SLOW_SEND_SECONDS: Final = 0.5
 
 
 class Outcomes:
-    """Tell of each request and try what an operator needs.
+    """Write the log lines and counters of requests and attempts.
 
-    ``arrived_at`` are the monotonic seconds at which a request's first byte came.
+    ``arrived_at`` is the arrival of a request's first byte in monotonic seconds.
     """
 
     def __init__(
@@ -44,10 +44,10 @@
         self.clock = clock
         self.events = events
 
-    def note_refused(
+    def log_rejected(
         self, request_id: str, call: Call | None, refusal: Refusal, arrived_at: float
     ) -> None:
-        """Log what decided that a request was refused or failed."""
+        """Log a rejected or failed request with the inputs of that decision."""
         routes = self.view.routes
         self.events.record(
             refusal.event,
@@ -63,10 +63,10 @@
             seconds=self._seconds_since(arrived_at),
         )
 
-    def note_cancelled(
+    def log_cancelled(
         self, request_id: str, call: Call | None, arrived_at: float
     ) -> None:
-        """Log that a caller has gone."""
+        """Log that a caller has disconnected."""
         self.events.record(
             Event.REQUEST_CANCELLED,
             request_id=request_id,
@@ -74,10 +74,10 @@
             seconds=self._seconds_since(arrived_at),
         )
 
-    def note_end(
+    def count_request(
         self, call: Call | None, outcome: ErrorKind | str, arrived_at: float
     ) -> None:
-        """Count the end of a request, whatever it was."""
+        """Count a finished request by its outcome and duration."""
         self.counters.add_request(
             call.service if call is not None else "",
             call.route.name if call is not None else "",
@@ -85,10 +85,10 @@
             self.clock.monotonic() - arrived_at,
         )
 
-    def note_sent(self, call: Call, server: Server, times: SendTimes) -> None:
-        """Count how late a try's first byte went out, and on how old news.
+    def record_send(self, call: Call, server: Server, times: SendTimes) -> None:
+        """Record the delay of an attempt's first byte and the age of the host's view.
 
-        Logged are those that waited long and the sampled ones.
+        Slow and sampled sends are logged.
         """
         seconds = times.seconds_until_sent
         if seconds is None:
@@ -107,7 +107,7 @@
             revision=self.view.revision,
         )
 
-    def note_try(
+    def record_attempt(
         self,
         call: Call,
         server: Server,
@@ -115,7 +115,7 @@
         number: int,
         seconds: float,
     ) -> None:
-        """Count a try, the first being 1, and log it where it gave no answer."""
+        """Count an attempt, numbered from 1, and log it if it was not answered."""
         self.counters.tries[call.service, exchange.verdict] += 1
         if exchange.verdict is Verdict.ANSWERED:
             return
@@ -129,10 +129,12 @@
             seconds=round(seconds, 3),
         )
 
-    def note_ended(self, call: Call, server: Server, fingerprint: Fingerprint) -> None:
-        """Log that a server ended with a request in flight.
+    def record_server_crash(
+        self, call: Call, server: Server, fingerprint: Fingerprint
+    ) -> None:
+        """Log and count that a server crashed with a request in flight.
 
-        The same fingerprint under other request ids is the same request.
+        Retries of a request have the same fingerprint under other request ids.
         """
         self.counters.servers_ended[(call.service,)] += 1
         self.events.record(
@@ -144,12 +146,12 @@
             caller=fingerprint.caller,
         )
 
-    def note_answered(
+    def record_answered(
         self, call: Call, exchange: Exchange, server: Server, tries: int
     ) -> None:
-        """Count where a request ran, and log some of those that were answered.
+        """Count the region that answered a request; log it if sampled.
 
-        All that took more than one of ``tries`` are logged.
+        Requests that took more than one of the ``attempts`` are always logged.
         """
         self.counters.regions[call.service, server.region] += 1
         if tries == 1 and not _is_sampled(call.request_id):
@@ -170,22 +172,22 @@
         )
 
     def _seconds_since(self, arrived_at: float) -> float:
-        """Return how long a request has taken until now."""
+        """Return the seconds since a request arrived, rounded for a log line."""
         return round(self.clock.monotonic() - arrived_at, 3)
 
 
 def _call_fields(call: Call | None) -> dict[str, str]:
-    """Return what a log line says of a request that was matched to a route."""
+    """Return the log fields of a request that was matched to a route."""
     if call is None:
         return {}
     return {"route": call.route.name, "service": call.service}
 
 
 def _rounded(seconds: float) -> float | None:
-    """Return seconds for a log line, None where they are not finite."""
+    """Return rounded seconds for a log line, or None if they are not finite."""
     return round(seconds, 3) if math.isfinite(seconds) else None
 
 
 def _is_sampled(request_id: str) -> bool:
-    """Tell whether an ordinary success is logged."""
-    return xxhash.xxh3_64_intdigest(request_id.encode()) % SAMPLED_ONE_IN == 0
+    """Return True if this request is logged although nothing went wrong."""
+    return xxhash.xxh3_64_intdigest(request_id.encode()) % SAMPLING_INTERVAL == 0
--- a/packages/node/greengagepoint_node/gateway/overdue.py
+++ b/packages/node/greengagepoint_node/gateway/overdue.py
@@ -1,4 +1,4 @@
-"""Give up a try at a silent server for another server."""
+"""Abandon an attempt at a silent server in favor of another server."""
 
 import asyncio
 from typing import Protocol
@@ -7,74 +7,74 @@
 from greengagepoint.placing.tables import Server
 from greengagepoint.protocols import Clock
 from greengagepoint_node.gateway.call import Call
-from greengagepoint_node.gateway.exchange import Sending, Verdict
+from greengagepoint_node.gateway.exchange import OutgoingRequest, Verdict
 from greengagepoint_node.gateway.placing import Placer
-from greengagepoint_node.gateway.tries import Tries
+from greengagepoint_node.gateway.tries import Attempts
 
 
-class Successors(Protocol):
-    """Know where a request may be sent once more."""
+class ServerSelector(Protocol):
+    """Select servers for retries."""
 
     clock: Clock
     placer: Placer
     leaving: bool
 
     def next_server(
-        self, call: Call, tries: Tries, last: Verdict | None
+        self, call: Call, attempts: Attempts, last: Verdict | None
     ) -> Server | None:
-        """Return the next server, or None where the request is not sent again."""
+        """Return the next server, or None if the request is not retried."""
 
 
 class OverdueWatch:
-    """Watch one try from its start until it is cancelled."""
+    """Watch one attempt for silence of its server until cancelled."""
 
     def __init__(
         self,
-        successors: Successors,
+        selector: ServerSelector,
         call: Call,
         server: Server,
-        sending: Sending,
-        tries: Tries,
+        outgoing: OutgoingRequest,
+        attempts: Attempts,
     ) -> None:
-        self.successors = successors
+        self.selector = selector
         self.call = call
         self.server = server
-        self.sending = sending
-        self.tries = tries
-        self.began = successors.clock.monotonic()
-        placer = successors.placer
-        seconds = placer.silent_after(server, sending.seconds, self.began)
+        self.outgoing = outgoing
+        self.attempts = attempts
+        self.began = selector.clock.monotonic()
+        placer = selector.placer
+        seconds = placer.silent_after(server, outgoing.seconds, self.began)
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(seconds, self._note_silence)
+        self.timer = loop.call_later(seconds, self._handle_silence)
 
     def cancel(self) -> None:
         """Stop watching."""
         self.timer.cancel()
 
-    def _note_silence(self) -> None:
-        """Give up a server that has answered nobody since the try began."""
+    def _handle_silence(self) -> None:
+        """Suspect a server that has answered no request since the attempt began."""
         if self.server.answered_at >= self.began:
             return
-        now = self.successors.clock.monotonic()
-        self.successors.placer.suspect(self.server, Verdict.TIMED_OUT, now)
-        self._give_up()
+        now = self.selector.clock.monotonic()
+        self.selector.placer.suspect(self.server, Verdict.TIMED_OUT, now)
+        self._move_to_successor()
 
-    def _give_up(self) -> None:
-        """Send the request to another server if there is one that takes it.
+    def _move_to_successor(self) -> None:
+        """Send the request to another server if one is available.
 
-        The server may only be slow, so it keeps a request that no other server would
-        take: a failure told while it works would lose its answer. A host that stops
-        leaves it all its time, since the second try may fail as well.
+        Otherwise the attempt goes on: the server may only be slow, and failing the
+        request now would lose its answer. A stopping host always lets it go on, since
+        the second attempt may fail as well.
         """
-        if self.successors.leaving or not self.call.route.repeatable:
+        if self.selector.leaving or not self.call.route.repeatable:
             return
-        if not self.tries.may_go_on(self.call.route.attempts_max):
+        if not self.attempts.has_attempts_left(self.call.route.attempts_max):
             return
-        left = self.sending.time_left.seconds()
-        if not may_still_end(left, self.successors.placer.answer_times(self.server)):
+        left = self.outgoing.time_left.seconds()
+        if not may_still_end(left, self.selector.placer.answer_times(self.server)):
             return
-        successor = self.successors.next_server(
-            self.call, self.tries, Verdict.TIMED_OUT
+        successor = self.selector.next_server(
+            self.call, self.attempts, Verdict.TIMED_OUT
         )
         if successor is not None:
-            self.sending.give_up_for(successor)
+            self.outgoing.abandon_for(successor)
--- a/packages/node/greengagepoint_node/gateway/passing.py
+++ b/packages/node/greengagepoint_node/gateway/passing.py
@@ -1,4 +1,4 @@
-"""What of a request and its answer is passed on."""
+"""Relay request headers, request bodies and answers between caller and server."""
 
 import asyncio
 from typing import Final
@@ -20,7 +20,7 @@
 
 
 class RequestHeaders:
-    """Write the headers of requests to backend servers."""
+    """Build the headers of requests to backend servers."""
 
     def __init__(self, names: HeaderNames) -> None:
         self.names = names
@@ -33,21 +33,26 @@
             names.account.lower(),
         }
 
-    def passed_on(
-        self, request: web.BaseRequest, server: Server, call: Call, *, keyed: bool
+    def backend_headers(
+        self,
+        request: web.BaseRequest,
+        server: Server,
+        call: Call,
+        *,
+        has_accounts: bool,
     ) -> CIMultiDict[str]:
-        """Return a caller's headers and the server's name, without the time left.
+        """Return the caller's headers plus the server's instance and account.
 
-        That is written right before the first byte goes out. Where callers are
-        ``keyed``, their keys stay here.
+        The remaining time is added right before the first byte is sent. With
+        ``has_accounts``, the callers' credentials are not passed on.
         """
         dropped = self.dropped | connection_headers(request.headers)
-        if keyed:
+        if has_accounts:
             dropped = dropped | CREDENTIALS
         headers: CIMultiDict[str] = CIMultiDict()
         headers["Host"] = request.headers.get("Host", "")
         for name, value in request.headers.items():
-            # Servers behind some gateways read an underscore as a hyphen.
+            # Some servers treat an underscore in a header name as a hyphen.
             if name.lower().replace("_", "-") not in dropped:
                 headers.add(name, value)
         headers[self.names.target_instance] = server.instance
@@ -59,7 +64,11 @@
 async def async_read_body(
     request: web.BaseRequest, seconds: float, limit_bytes: int
 ) -> bytes:
-    """Return the body of a request whole, or raise Refusal."""
+    """Return the whole body of a request, or raise Refusal.
+
+    Errors are a body over ``limit_bytes``, one that takes more than ``seconds``, and a
+    connection that breaks.
+    """
     if (request.content_length or 0) > limit_bytes:
         raise Refusal(ErrorKind.BODY_TOO_LARGE, 413, "the body is too long")
     pieces: list[bytes] = []
@@ -72,16 +81,16 @@
                 if size > limit_bytes:
                     raise Refusal(ErrorKind.BODY_TOO_LARGE, 413, "the body is too long")
     except TimeoutError as error:
-        reason = "the body did not end before the deadline"
+        reason = "the request body was not complete before the deadline"
         raise Refusal(ErrorKind.SLOW_SENDER, 408, reason) from error
     except (aiohttp.ClientError, web.RequestPayloadError) as error:
-        reason = "the body broke off"
+        reason = "the connection broke before the end of the request body"
         raise Refusal(ErrorKind.BAD_REQUEST, 400, reason) from error
     return b"".join(pieces)
 
 
 def answer_response(exchange: Exchange) -> web.Response:
-    """Return a backend server's answer for the caller."""
+    """Return a backend server's answer as the response to the caller."""
     assert exchange.headers is not None
     dropped = HOP_BY_HOP_HEADERS | connection_headers(exchange.headers)
     headers: CIMultiDict[str] = CIMultiDict()
--- a/packages/node/greengagepoint_node/gateway/pipelining.py
+++ b/packages/node/greengagepoint_node/gateway/pipelining.py
@@ -1,10 +1,9 @@
-"""Work on requests that a caller sends before its earlier ones are answered.
+"""Process pipelined requests in parallel and answer them in order.
 
-Load answered: callers send several requests on one connection without waiting. Handled
-one after the other, a request begins only when the one before it has been answered, and
-has lost most of its response-time goal by then. Begun as they come and answered in
-order, 0.92 in place of 0.84 of such callers' requests met their goal on a calm day (of
-3,485, the same day played with and without it).
+Callers send several requests on one connection without waiting for answers. Processed
+one after the other, a request starts only after the previous answer and has used up
+most of its latency goal by then. Started on arrival, 0.92 instead of 0.84 of such
+callers' requests met their goal on a calm day (of 3,485 requests).
 """
 
 import asyncio
@@ -18,96 +17,98 @@
 from greengagepoint_node.gateway.arrivals import ArrivalQueue
 from greengagepoint_node.http.server import ProblemRequestHandler
 
-# A caller that sends more without reading answers waits for its turn, so that one
-# connection can't take all slots of its servers.
-EARLY_MAX: Final = 8
+# Further pipelined requests wait for their turn, so that one connection can't occupy
+# all slots of its servers.
+EARLY_REQUESTS_MAX: Final = 8
 
 
-class EarlyWork(Protocol):
-    """Decide which requests may begin early, and answer them."""
+class RequestAnswerer(Protocol):
+    """Answer requests, and decide which may start before their turn."""
 
     clock: Clock
 
-    def may_begin_early(self, request: web.BaseRequest) -> bool:
-        """Tell whether a request may run before its turn, and beside others."""
+    def can_start_early(self, request: web.BaseRequest) -> bool:
+        """Return True if a request may run before its turn, in parallel to others."""
 
     async def async_answer(
         self, request: web.BaseRequest, arrived_at: float
     ) -> web.Response:
         """Return the answer to a request without sending it.
 
-        ``arrived_at`` are the monotonic seconds at which its first byte came.
+        ``arrived_at`` is the arrival of its first byte in monotonic seconds.
         """
 
 
 class PipelinedRequestHandler(ProblemRequestHandler):
-    """One connection, whose waiting requests are begun before their turn.
+    """A connection that starts waiting requests before their turn.
 
-    ``early`` holds the answers under way of the first requests that wait, in order.
+    ``early_answers`` holds the tasks of the first waiting requests, in order.
     """
 
-    work: EarlyWork
+    answerer: RequestAnswerer
     current: web.BaseRequest | None = None
-    early: deque[asyncio.Task[web.Response]]
+    early_answers: deque[asyncio.Task[web.Response]]
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin with no request waiting."""
-        self.early = deque()
+        """Start with an empty request queue."""
+        self.early_answers = deque()
         self._messages = ArrivalQueue()
         super().connection_made(transport)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Give up what was begun; its caller has gone."""
-        for task in self.early:
+        """Cancel the requests that were started early, as their caller is gone."""
+        for task in self.early_answers:
             task.cancel()
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Take in bytes, and begin the requests that they complete."""
+        """Process received bytes and start the requests that they complete."""
         arrivals = self._messages
-        # Without data, the library goes on with what is left of an earlier chunk.
+        # The library calls this without data to parse the rest of an earlier chunk.
         if data:
-            arrivals.chunk_at = self.work.clock.monotonic()
+            arrivals.chunk_at = self.answerer.clock.monotonic()
         super().data_received(data)
         arrivals.end_chunk(data)
-        self.begin_early()
+        self.start_early()
 
     async def async_answer_in_turn(self, request: web.BaseRequest) -> web.Response:
-        """Return the answer to the request whose turn it is."""
-        begun = self.early.popleft() if self.early else None
+        """Return the answer to the next request in order."""
+        begun = self.early_answers.popleft() if self.early_answers else None
         arrived_at = self._messages.turn_at
         self.current = request
         try:
-            self.begin_early()
+            self.start_early()
             if begun is not None:
                 return await begun
-            return await self.work.async_answer(request, arrived_at)
+            return await self.answerer.async_answer(request, arrived_at)
         finally:
             self.current = None
 
-    def begin_early(self) -> None:
-        """Begin the waiting requests up to the first one that has to wait its turn."""
-        if self.current is None or len(self._messages) <= len(self.early):
+    def start_early(self) -> None:
+        """Start waiting requests up to the first that has to wait for its turn."""
+        if self.current is None or len(self._messages) <= len(self.early_answers):
             return
-        if not self.work.may_begin_early(self.current):
+        if not self.answerer.can_start_early(self.current):
             return
         loop = asyncio.get_running_loop()
         waiting = zip(self._messages, self._messages.times, strict=True)
-        begun = len(self.early)
-        for (message, payload), arrived_at in list(waiting)[begun:EARLY_MAX]:
-            # What could not be parsed waits in the queue too, and is no request.
+        begun = len(self.early_answers)
+        for (message, payload), arrived_at in list(waiting)[begun:EARLY_REQUESTS_MAX]:
+            # The queue also holds parse errors, which are no requests.
             if not hasattr(message, "headers"):
                 return
             writer = StreamWriter(self, loop)
             request = web.BaseRequest(
                 message, payload, self, writer, asyncio.current_task(), loop
             )
-            if not self.work.may_begin_early(request):
+            if not self.answerer.can_start_early(request):
                 return
-            answer = self.work.async_answer(request, arrived_at)
-            self.early.append(loop.create_task(answer))
+            answer = self.answerer.async_answer(request, arrived_at)
+            self.early_answers.append(loop.create_task(answer))
 
 
-def create_pipelined_connection(work: EarlyWork) -> type[PipelinedRequestHandler]:
-    """Return the class of connections on which some work may begin early."""
-    return type("Connection", (PipelinedRequestHandler,), {"work": work})
+def create_pipelined_connection(
+    answerer: RequestAnswerer,
+) -> type[PipelinedRequestHandler]:
+    """Return a connection class that answers requests with ``answerer``."""
+    return type("Connection", (PipelinedRequestHandler,), {"answerer": answerer})
--- a/packages/node/greengagepoint_node/gateway/refusals.py
+++ b/packages/node/greengagepoint_node/gateway/refusals.py
@@ -1,4 +1,4 @@
-"""Answers of this host's own, for requests that no server answers."""
+"""Responses that this host generates for requests without a server's answer."""
 
 import math
 from typing import Final
@@ -13,21 +13,22 @@
 from greengagepoint_node.gateway.names import HeaderNames
 
 RETRY_AFTER_MIN_SECONDS: Final = 0.05
-# A host with old news asks a peer each half second.
+# A host with an outdated view polls a peer every half second.
 OLD_NEWS_RETRY_SECONDS: Final = 0.5
-# Servers that shed everything are looked at again after this, where they don't say.
+# Retry delay if all servers shed the request and sent no Retry-After.
 SHED_RETRY_SECONDS: Final = 0.1
-# Callers who were refused together come back spread over a quarter of the time on
-# either side, not as the same burst.
+# Retry-After is spread by a quarter to either side, so that callers rejected together
+# don't retry as one burst.
 RETRY_SPREAD: Final = 0.5
-# These say that the request has not run and will not.
+# Statuses that guarantee that the request has not run and will not run.
 NOT_RUN_STATUSES: Final = frozenset({400, 401, 404, 408, 413, 429, 503})
-# What is left of such a request on its connection would be read as the next one.
+# Statuses after which the connection is closed: unread bytes of the request would be
+# parsed as the next request.
 UNREAD_STATUSES: Final = frozenset({400, 408, 413})
 
 
-# What a failed try means for its caller.
-KINDS: Final[dict[Verdict, ErrorKind]] = {
+# Error kind that the caller gets for the verdict on the last attempt.
+KIND_BY_VERDICT: Final[dict[Verdict, ErrorKind]] = {
     Verdict.SHED: ErrorKind.BACKEND_SHED,
     Verdict.UNREACHABLE: ErrorKind.BACKEND_REFUSED,
     Verdict.OTHER_SERVER: ErrorKind.BACKEND_REFUSED,
@@ -41,11 +42,11 @@
 
 
 class Refusal(Exception):
-    """End a request with an answer of this host's own.
+    """Reject or fail a request with a response of this host.
 
-    The status stands beside the kind: callers of this path take every 503 as a promise
-    that nothing ran, and 502 and 504 as none, whatever the kind. ``inputs`` are what
-    decided it, for the log.
+    The status is independent of the kind: callers take any 503 as a guarantee that the
+    request did not run, while 502 and 504 give no guarantee. ``inputs`` are the values
+    behind the decision, for the log. ``retry_after`` is in seconds.
     """
 
     def __init__(
@@ -65,14 +66,14 @@
 
     @property
     def event(self) -> Event:
-        """Return the event under which it is logged."""
+        """Return the event to log: refused if the request can't have run, or failed."""
         if self.status in NOT_RUN_STATUSES:
             return Event.REQUEST_REFUSED
         return Event.REQUEST_FAILED
 
 
 def no_place(service: str, place: NoPlace) -> Refusal:
-    """Return the refusal of a request for which there is no server now."""
+    """Return the refusal of a request for which no server is available."""
     if place.servers_known:
         kind, reason = ErrorKind.OVERLOADED, "all servers are busy"
     else:
@@ -88,11 +89,14 @@
 
 
 def no_answer(last: Exchange | None, *, may_have_run: bool) -> Refusal:
-    """Return what the caller is told when no try gave an answer."""
+    """Return the refusal of a request after attempts without an answer.
+
+    ``last`` is the result of the last attempt, None if there was none.
+    """
     if last is None:
         kind = ErrorKind.DEADLINE_TOO_SHORT
         return Refusal(kind, 503, "no time was left to send the request", 0.0)
-    kind = KINDS[last.verdict]
+    kind = KIND_BY_VERDICT[last.verdict]
     if may_have_run:
         status = 504 if last.verdict is Verdict.TIMED_OUT else 502
         return Refusal(kind, status, f"may have run: {last.verdict}")
@@ -105,7 +109,7 @@
 def refusal_response(
     refusal: Refusal, names: HeaderNames, request_id: str
 ) -> web.Response:
-    """Return the answer to a request that is refused."""
+    """Return the response for a refusal, with a randomized Retry-After header."""
     headers = {}
     if request_id:
         headers[names.request_id] = request_id
--- a/packages/node/greengagepoint_node/gateway/send_times.py
+++ b/packages/node/greengagepoint_node/gateway/send_times.py
@@ -1,13 +1,13 @@
-"""Note how long a request waits between the choice of its server and its first byte."""
+"""Measure the time from the choice of a server to the request's first byte."""
 
 from greengagepoint.protocols import Clock
 from greengagepoint_node.gateway.news_ages import News
 
 
 class SendTimes:
-    """The times of one try, in monotonic seconds; ages of news in seconds.
+    """Times of one attempt in monotonic seconds, and ages of the host's view.
 
-    An age is that of the oldest fact that may have changed without this host's knowing.
+    The age, in seconds, is that of the oldest fact that may have changed since.
     """
 
     def __init__(self, clock: Clock, news: News) -> None:
@@ -18,12 +18,12 @@
         self.sent_at: float | None = None
         self.news_age_at_send = self.news_age_at_choice
 
-    def note_sent(self) -> None:
-        """Take in that the first byte goes out now."""
+    def mark_sent(self) -> None:
+        """Record that the first byte is sent now."""
         self.sent_at = self.clock.monotonic()
         self.news_age_at_send = self.sent_at - self.news.informed_at()
 
     @property
     def seconds_until_sent(self) -> float | None:
-        """Return how long the request waited for its first byte, None if unsent."""
+        """Return the seconds from choice to first byte, or None if unsent."""
         return None if self.sent_at is None else self.sent_at - self.chosen_at
--- a/packages/node/greengagepoint_node/gateway/tries.py
+++ b/packages/node/greengagepoint_node/gateway/tries.py
@@ -1,4 +1,4 @@
-"""Count the backend servers that one request has been sent to."""
+"""Count the attempts of one request and limit them."""
 
 from dataclasses import dataclass, field
 from typing import Final
@@ -6,39 +6,40 @@
 from greengagepoint.placing.tables import Incarnation
 from greengagepoint_node.gateway.exchange import Verdict
 
-# How tries end of which their server got nothing, while there is time for another one.
+# Verdicts on attempts that delivered nothing to the server and left time for another.
 UNSENT: Final = frozenset({Verdict.UNREACHABLE, Verdict.LEFT})
-# Servers that could not be reached are tried beside those that a route allows. With a
-# lost zone, few requests meet more of them in a row, and each uses up part of a short
-# deadline.
+# Unreachable servers allowed per request, in addition to the route's attempts. Even
+# when a zone is lost, few requests meet more in a row, and each of them uses up part of
+# a short deadline.
 UNREACHED_MAX: Final = 3
 
 
 @dataclass(slots=True)
-class Tries:
-    """The servers of one request so far, the present one included.
+class Attempts:
+    """Servers that a request was assigned to, including the current one.
 
-    ``unreached`` is how many of them got nothing: no connection was made, or they left
-    while one was made.
+    ``unreached`` counts those that got nothing: the connection failed, or the server
+    left while connecting.
     """
 
     servers: set[Incarnation] = field(default_factory=set)
     unreached: int = 0
 
     def begin(self, server: Incarnation) -> None:
-        """Take in that the request is to go to a server."""
+        """Record the server of a new attempt."""
         self.servers.add(server)
 
     def end(self, verdict: Verdict) -> None:
-        """Take in how the try at the present server ended."""
+        """Record the verdict on the current attempt."""
         self.unreached += verdict in UNSENT
 
-    def may_go_on(self, servers_max: int) -> bool:
-        """Tell whether one more server may get the request.
+    def has_attempts_left(self, servers_max: int) -> bool:
+        """Return True if the request may be sent to one more server.
 
-        A route bounds how many servers get a request, and one that could not be reached
-        got nothing. Counted as well, the request of a key whose two servers had crashed
-        was refused beside sound ones, until each host had found out for itself.
+        ``servers_max`` limits how many servers get a request. Unreachable servers got
+        nothing and don't count: otherwise a request whose key is assigned to two
+        crashed servers would be rejected although healthy ones are free, until this
+        host has detected the crashes.
         """
         sent = len(self.servers) - self.unreached
         return sent < max(1, servers_max) and self.unreached < UNREACHED_MAX
--- a/packages/node/tests/test_gateway_answers.py
+++ b/packages/node/tests/test_gateway_answers.py
@@ -353,8 +353,8 @@
         for backend in world.backends[:2]:
             await backend.async_stop()
         status, _, _ = await world.async_call(path, method)
-        tries = world.events.of(Event.REQUEST_RETRIED)
-        assert [row["outcome"] for row in tries] == ["unreachable"] * 2
+        attempts = world.events.of(Event.REQUEST_RETRIED)
+        assert [row["outcome"] for row in attempts] == ["unreachable"] * 2
         assert (status, world.ran()) == (200, 1)
 
 
--- a/packages/node/tests/test_gateway_arrival_times.py
+++ b/packages/node/tests/test_gateway_arrival_times.py
@@ -36,7 +36,7 @@
     def monotonic(self):
         return self.now
 
-    def may_begin_early(self, request):
+    def can_start_early(self, request):
         return False
 
 
--- a/packages/node/tests/test_gateway_quarantine.py
+++ b/packages/node/tests/test_gateway_quarantine.py
@@ -133,11 +133,11 @@
         chosen = []
         place = world.daemon.placer.place
 
-        def note_key(call, tried, now):
+        def record_key(call, tried, now):
             chosen.append(call.key)
             return place(call, tried, now)
 
-        world.daemon.placer.place = note_key
+        world.daemon.placer.place = record_key
         assert (await world.async_call(FATAL, headers=key))[0] == 200
         assert (await world.async_call(FATAL, headers=key))[0] == 200
         assert [key.endswith("\0" + "7") for key in chosen] == [False, True]
@@ -168,7 +168,7 @@
         await async_until(lambda: server.ran)
         call.cancel()
         await async_until(lambda: server.cancelled)
-        watches = world.daemon.gateway.server_ends.watches
+        watches = world.daemon.gateway.server_crashes.watches
         await async_until(lambda: watches)
         await async_until(lambda: not watches)
         assert not world.daemon.quarantine.table.suspects
