--- a/packages/node/tests/gateway_runs.py
+++ b/packages/node/tests/gateway_runs.py
@@ -1,4 +1,4 @@
-"""Views that are told what the store holds of one server's runs."""
+"""Build fleet views and the store items of a server's incarnations."""
 
 from gateway_world import ZONES, Lines
 
@@ -24,7 +24,7 @@
 
 
 def decode(item):
-    """Read "born,address,state,cold seconds"; anything else is refused."""
+    """Decode "born,address,state,cold seconds"; raise RecordError otherwise."""
     if item.key == "op":
         table = create_route_table(1, {}, [POLICY], CallerLimits())
         return Configuration(table)
--- a/packages/node/tests/gateway_world.py
+++ b/packages/node/tests/gateway_world.py
@@ -1,4 +1,4 @@
-"""A gateway on loopback with servers in the platform's manner, without a store."""
+"""Run a gateway on loopback with the platform's backend servers and a fake store."""
 
 import asyncio
 import contextlib
@@ -41,12 +41,12 @@
 NAMES = HEADERS
 HOST = "a.example"
 ZONES = {"zone-a": "north", "zone-b": "south"}
-GIVEN_PORTS: set[int] = set()
+ALLOCATED_PORTS: set[int] = set()
 Accounts = Sequence[tuple[Account, list[str]]]
 
 
 class Lines:
-    """Keep events with their fields."""
+    """Record events with their fields."""
 
     def __init__(self) -> None:
         self.rows: list[tuple[Event, dict[str, Any]]] = []
@@ -59,7 +59,7 @@
 
 
 class MovedClock(SystemClock):
-    """The host's clocks, set ahead by some seconds, and stopped where a test says."""
+    """System clock that a test can advance and stop."""
 
     def __init__(self) -> None:
         self.ahead = 0.0
@@ -73,8 +73,8 @@
         return now + self.ahead
 
 
-class FixedStore:
-    """A store that holds the same facts for ever."""
+class StaticStore:
+    """A store whose content never changes."""
 
     def __init__(self, facts: dict[str, Any]) -> None:
         self.facts = facts
@@ -103,17 +103,17 @@
 
 
 def free_address() -> str:
-    """Return an address on loopback that was given out to nobody else here.
+    """Return a loopback address that was not returned before.
 
-    The kernel may give a port again as soon as it is free; two listeners of one daemon
-    would then have the same address, and the second could not start.
+    The kernel may assign a port again as soon as it is free. Two listeners of one
+    daemon would then share an address, and the second could not start.
     """
     while True:
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             port = probe.getsockname()[1]
-        if port not in GIVEN_PORTS:
-            GIVEN_PORTS.add(port)
+        if port not in ALLOCATED_PORTS:
+            ALLOCATED_PORTS.add(port)
             return f"127.0.0.1:{port}"
 
 
@@ -137,7 +137,7 @@
 
 
 class World:
-    """One daemon, its servers and a caller."""
+    """A daemon with backend servers and a caller's session."""
 
     def __init__(self, daemon: GatewayDaemon, backends: list[PlatformBackend]) -> None:
         self.daemon = daemon
@@ -169,7 +169,7 @@
             return answer.status, await answer.read(), dict(answer.headers)
 
     async def async_stop_news(self) -> None:
-        """Let the host hear nothing more of the store or of peers."""
+        """Cut the host off from updates of the store and of peers."""
         await async_until(self.daemon.gossip.ages.is_current)
         self.clock.stop()
         following = self.daemon.tasks[:3]
@@ -179,13 +179,13 @@
 
     @contextlib.contextmanager
     def held_connections(self):
-        """Let no new connection to a server come about until the block has ended."""
-        may_go_on = asyncio.Event()
+        """Block new connections to servers until the end of the context."""
+        released = asyncio.Event()
         waiting = asyncio.Event()
 
         async def async_hold(*_: Any) -> None:
             waiting.set()
-            await may_go_on.wait()
+            await released.wait()
 
         trace = aiohttp.TraceConfig()
         trace.on_connection_create_start.append(async_hold)
@@ -196,7 +196,7 @@
             yield waiting
         finally:
             traces.remove(trace)
-            may_go_on.set()
+            released.set()
 
     def ran(self) -> int:
         return sum(len(backend.ran) for backend in self.backends)
@@ -220,7 +220,7 @@
     )._replace(**changes)
     return GatewayDaemon(
         settings,
-        FixedStore(facts),
+        StaticStore(facts),
         lambda item: facts[item.key],
         lambda directory: None,
         "/ready",
@@ -229,7 +229,7 @@
     )
 
 
-def facts_of(
+def create_facts(
     backends: list[PlatformBackend],
     rows: list[Route],
     accounts: Accounts = (),
@@ -264,7 +264,7 @@
     for backend in backends:
         await backend.async_start()
     metrics_address = free_address() if metrics else ""
-    facts = facts_of(backends, rows or routes(**changes), accounts)
+    facts = create_facts(backends, rows or routes(**changes), accounts)
     daemon = create_daemon(
         facts,
         metrics_address=metrics_address,
@@ -272,12 +272,12 @@
         revoke_seconds=REVOKE_SECONDS,
     )
     await daemon.async_start()
-    world = World(daemon, backends)
+    env = World(daemon, backends)
     try:
         await async_until(daemon.is_ready)
-        yield world
+        yield env
     finally:
-        await world.session.close()
+        await env.session.close()
         for task in daemon.tasks:
             task.cancel()
         for listener in daemon.listeners:
--- a/packages/node/tests/test_gateway_accounts.py
+++ b/packages/node/tests/test_gateway_accounts.py
@@ -1,4 +1,4 @@
-"""Check who may ask, as whom, and how much."""
+"""Check authentication by key and the request limits of accounts."""
 
 import asyncio
 
@@ -38,21 +38,21 @@
     return {name: getattr(row, name) for name in row.__struct_fields__}
 
 
-def account_headers(world):
+def account_headers(env):
     return [
         {
             name: value
             for name, value in row.headers.items()
             if "tenant" in name or name == "authorization"
         }
-        for backend in world.backends
+        for backend in env.backends
         for row in backend.ran
     ]
 
 
 @pytest.mark.parametrize("path", ["/safe/1", "/unsafe/1"])
 @pytest.mark.parametrize(
-    ("headers", "status", "told"),
+    ("headers", "status", "relayed"),
     [
         (bearer(KEY), 200, "one"),
         (bearer(OTHER_KEY), 200, "one"),
@@ -69,28 +69,28 @@
         ({**bearer(KEY), "Connection": "Authorization"}, 200, "one"),
     ],
 )
-async def test_only_keys_that_an_account_holds_run_and_as_that_account(
-    headers, status, told, path
+async def test_only_known_keys_are_served_under_their_account(
+    headers, status, relayed, path
 ):
-    """Guards against forged accounts, and keys that reach a backend server."""
-    async with async_world(accounts=ACCOUNTS) as world:
+    """Guard against forged accounts and keys that reach a backend server."""
+    async with async_world(accounts=ACCOUNTS) as env:
         method = "POST" if path.startswith("/unsafe") else "GET"
-        answer = await world.async_call(path, method, headers=headers)
+        answer = await env.async_call(path, method, headers=headers)
         assert answer[0] == status
-        seen = [{NAMES.account.lower(): told}] if told else []
-        assert account_headers(world) == seen
+        seen = [{NAMES.account.lower(): relayed}] if relayed else []
+        assert account_headers(env) == seen
 
 
-async def test_a_request_with_two_keys_is_nobodys():
-    async with async_world(accounts=ACCOUNTS) as world:
-        headers = [*world.headers().items(), *2 * [*bearer(KEY).items()]]
-        async with world.session.get(f"{world.url}/safe/1", headers=headers) as answer:
+async def test_a_request_with_two_keys_is_rejected():
+    async with async_world(accounts=ACCOUNTS) as env:
+        headers = [*env.headers().items(), *2 * [*bearer(KEY).items()]]
+        async with env.session.get(f"{env.url}/safe/1", headers=headers) as answer:
             assert answer.status == 401
-        assert world.ran() == 0
+        assert env.ran() == 0
 
 
 @pytest.mark.parametrize(
-    ("headers", "told"),
+    ("headers", "relayed"),
     [
         ({}, {}),
         (bearer("nobody's"), {}),
@@ -98,79 +98,79 @@
         ({NAMES.account: "two"}, {}),
     ],
 )
-async def test_a_public_route_needs_no_key_and_passes_none_on(headers, told):
-    async with async_world(accounts=ACCOUNTS, rows=public_routes()) as world:
-        answer = await world.async_call("/safe/1", headers=headers)
+async def test_a_public_route_needs_no_key_and_relays_none(headers, relayed):
+    async with async_world(accounts=ACCOUNTS, rows=public_routes()) as env:
+        answer = await env.async_call("/safe/1", headers=headers)
         assert answer[0] == 200
-        assert account_headers(world) == [told]
+        assert account_headers(env) == [relayed]
 
 
-async def test_without_accounts_a_callers_credentials_are_passed_on():
-    async with async_world() as world:
-        await world.async_call("/safe/1", headers=bearer(KEY))
-        assert account_headers(world) == [{"authorization": f"Bearer {KEY}"}]
+async def test_without_accounts_credentials_are_relayed():
+    async with async_world() as env:
+        await env.async_call("/safe/1", headers=bearer(KEY))
+        assert account_headers(env) == [{"authorization": f"Bearer {KEY}"}]
 
 
-async def async_be_told(world, key):
-    """Ask once, and wait until the host has heard of its account's limit."""
-    await world.async_call("/safe/1", headers=bearer(key))
-    await async_until(lambda: not world.daemon.gate.unanswered)
+async def async_fetch_limit(env, key):
+    """Send a request and wait until the host has received its account's limit."""
+    await env.async_call("/safe/1", headers=bearer(key))
+    await async_until(lambda: not env.daemon.gate.unanswered)
 
 
-async def test_keys_stand_in_no_log_line_and_no_metric():
-    """Guards against keys that can be read or searched for where others look."""
-    async with async_world(accounts=(*ACCOUNTS, SMALL), metrics=True) as world:
+async def test_keys_are_not_in_log_lines_or_metrics():
+    """Guard against keys in places that other people can read."""
+    async with async_world(accounts=(*ACCOUNTS, SMALL), metrics=True) as env:
         small = SMALL[1][0]
-        await async_be_told(world, small)
+        await async_fetch_limit(env, small)
         for key in [KEY, "nobody's", *20 * [small]]:
-            await world.async_call("/safe/1", headers=bearer(key))
-        address = world.daemon.settings.metrics_address
-        async with world.session.get(f"http://{address}/metrics") as answer:
+            await env.async_call("/safe/1", headers=bearer(key))
+        address = env.daemon.settings.metrics_address
+        async with env.session.get(f"http://{address}/metrics") as answer:
             shown = await answer.text()
         assert 'account="small",outcome="refused"' in shown
-        shown += repr(world.events.rows)
+        shown += repr(env.events.rows)
         assert not [key for key in (KEY, "nobody's", small) if key in shown]
 
 
 @pytest.mark.parametrize(
     ("rows", "status"), [(None, 503), (public_routes(), 200)], ids=["keyed", "public"]
 )
-async def test_a_host_that_hears_of_nothing_serves_no_keys(rows, status):
-    """Guards against a key that works on where its removal can't be heard of."""
-    async with async_world(accounts=ACCOUNTS, rows=rows) as world:
-        assert (await world.async_call("/safe/1", headers=bearer(KEY)))[0] == 200
-        await world.async_stop_news()
-        world.clock.ahead += world.daemon.settings.revoke_seconds
-        ran = world.ran()
-        answer = await world.async_call("/safe/1", headers=bearer(KEY))
+async def test_a_host_without_updates_rejects_keys(rows, status):
+    """Guard against a revoked key that stays valid on a partitioned host."""
+    async with async_world(accounts=ACCOUNTS, rows=rows) as env:
+        assert (await env.async_call("/safe/1", headers=bearer(KEY)))[0] == 200
+        await env.async_stop_news()
+        env.clock.ahead += env.daemon.settings.revoke_seconds
+        ran = env.ran()
+        answer = await env.async_call("/safe/1", headers=bearer(KEY))
         assert answer[0] == status
-        assert world.ran() - ran == (status == 200)
-        refused = world.events.of(Event.REQUEST_REFUSED)
+        assert env.ran() - ran == (status == 200)
+        refused = env.events.of(Event.REQUEST_REFUSED)
         assert [row["kind"] for row in refused] == [ErrorKind.NOT_READY] * (
             status == 503
         )
 
 
-async def test_look_ups_do_not_name_a_host_that_can_serve_no_keys():
-    async with async_world(accounts=ACCOUNTS) as world:
-        own = world.daemon.settings.front_address
-        assert world.daemon.directory.addresses("north") == [own]
-        await world.async_stop_news()
-        world.clock.ahead += world.daemon.settings.revoke_seconds
-        assert world.daemon.directory.addresses("north") == []
+async def test_lookups_leave_out_a_host_that_rejects_keys():
+    async with async_world(accounts=ACCOUNTS) as env:
+        own = env.daemon.settings.front_address
+        assert env.daemon.directory.addresses("north") == [own]
+        await env.async_stop_news()
+        env.clock.ahead += env.daemon.settings.revoke_seconds
+        assert env.daemon.directory.addresses("north") == []
 
 
-async def test_a_key_that_an_old_configuration_lacks_is_tried_elsewhere():
-    """Guards against a final 401 from a host that has yet to hear of a new key."""
-    async with async_world(accounts=ACCOUNTS) as world:
-        await world.async_stop_news()
-        world.clock.ahead += 3.0
-        status, _, headers = await world.async_call("/safe/1", headers=bearer("new"))
+async def test_an_unknown_key_gets_503_while_the_view_may_be_outdated():
+    """Guard against a final 401 from a host that does not have a new key yet."""
+    async with async_world(accounts=ACCOUNTS) as env:
+        await env.async_stop_news()
+        env.clock.ahead += 3.0
+        status, _, headers = await env.async_call("/safe/1", headers=bearer("new"))
         assert (status, "Retry-After" in headers) == (503, True)
 
 
-async def test_a_key_taken_away_while_a_slow_body_comes_does_not_run():
-    async with async_world(accounts=ACCOUNTS) as world:
+async def test_a_key_revoked_while_receiving_a_slow_body_is_rejected():
+    async with async_world(accounts=ACCOUNTS) as env:
         sent = asyncio.Event()
 
         async def async_body():
@@ -179,20 +179,18 @@
             yield b"b"
 
         call = asyncio.create_task(
-            world.async_call(
-                "/unsafe/1", "POST", headers=bearer(KEY), data=async_body()
-            )
+            env.async_call("/unsafe/1", "POST", headers=bearer(KEY), data=async_body())
         )
-        await async_until(lambda: world.daemon.gateway.in_flight)
-        take_away(world, KEY)
+        await async_until(lambda: env.daemon.gateway.in_flight)
+        revoke(env, KEY)
         sent.set()
         assert (await call)[0] == 401
-        assert world.ran() == 0
+        assert env.ran() == 0
 
 
-def take_away(world, key):
-    """Put a configuration in force in which nobody holds a key."""
-    view = world.daemon.view
+def revoke(env, key):
+    """Activate a configuration without a key."""
+    view = env.daemon.view
     builder = RouteTableBuilder(view.routes.version + 1, view.routes.limits)
     for host, rows in view.routes.hosts.items():
         for route in rows.prefixes.values():
@@ -201,18 +199,18 @@
         builder.add_service(policy)
     for account, keys in ACCOUNTS:
         builder.add_account(account, [row for row in keys if row != key])
-    view.take_loaded(Configuration(builder.table()), world.clock.monotonic())
+    view.take_loaded(Configuration(builder.table()), env.clock.monotonic())
 
 
-async def test_an_account_over_its_limit_does_not_touch_another():
-    """Guards against one account's flood that uses up what others are owed."""
-    async with async_world(servers=4, accounts=(SMALL, UNLIMITED)) as world:
-        await async_be_told(world, SMALL[1][0])
+async def test_an_account_over_its_limit_does_not_affect_others():
+    """Guard against a flood of one account that uses up the capacity of others."""
+    async with async_world(servers=4, accounts=(SMALL, UNLIMITED)) as env:
+        await async_fetch_limit(env, SMALL[1][0])
         flood = [
-            world.async_call("/safe/1", headers=bearer(SMALL[1][0])) for _ in range(60)
+            env.async_call("/safe/1", headers=bearer(SMALL[1][0])) for _ in range(60)
         ]
         other = [
-            world.async_call(f"/safe/{number}", headers=bearer(UNLIMITED[1][0]))
+            env.async_call(f"/safe/{number}", headers=bearer(UNLIMITED[1][0]))
             for number in range(20)
         ]
         answers = await asyncio.gather(*flood, *other)
@@ -220,10 +218,10 @@
         assert {status for status, *_ in answers[:60]} == {200, 429}
         assert [status for status, *_ in answers[60:]] == [200] * 20
         assert all(float(headers["Retry-After"]) > 0 for headers in refused)
-        ran = [row for row in account_headers(world) if "small" in row.values()]
+        ran = [row for row in account_headers(env) if "small" in row.values()]
         assert len(ran) == 1 + 60 - len(refused)
         assert len(ran) <= 1 + STRICT.most(SMALL[0])
-        lines = world.events.of(Event.REQUEST_REFUSED)
+        lines = env.events.of(Event.REQUEST_REFUSED)
         assert {row["account"] for row in lines} == {"small"}
 
 
@@ -237,10 +235,10 @@
         (set(), {"south"}, 503),
     ],
 )
-async def test_home_regions_of_route_and_account_both_bind(route, account, expected):
+async def test_home_regions_of_route_and_account_both_apply(route, account, expected):
     accounts = ((Account(name="one", home_regions=frozenset(account)), [KEY]),)
     regions = frozenset(route)
-    async with async_world(accounts=accounts, home_regions=regions) as world:
-        answer = await world.async_call("/safe/1", headers=bearer(KEY))
+    async with async_world(accounts=accounts, home_regions=regions) as env:
+        answer = await env.async_call("/safe/1", headers=bearer(KEY))
         assert answer[0] == expected
-        assert world.ran() == (expected == 200)
+        assert env.ran() == (expected == 200)
--- a/packages/node/tests/test_gateway_arrival_times.py
+++ b/packages/node/tests/test_gateway_arrival_times.py
@@ -1,4 +1,4 @@
-"""Which chunk counts as a request's first, however its connection was cut up."""
+"""Check which chunk counts as a request's arrival for any split of the stream."""
 
 import asyncio
 
@@ -26,8 +26,8 @@
 BLANK = b"\r\n"
 
 
-class Work:
-    """Answer nothing; the time is the number of the chunk."""
+class FakeAnswerer:
+    """Answer nothing; the clock shows the number of the chunk."""
 
     def __init__(self):
         self.now = -1.0
@@ -40,40 +40,40 @@
         return False
 
 
-class Connected(asyncio.Transport):
-    """A connection on which nothing is written."""
+class FakeTransport(asyncio.Transport):
+    """A transport that discards what is written."""
 
     def close(self):
         pass
 
 
-async def async_never(request):
+async def async_unexpected_request(request):
     raise AssertionError("No request has its turn")
 
 
-def times_of(chunks):
-    """Return the times of the requests that a connection takes from some chunks."""
+def arrival_times(chunks):
+    """Return the arrival times of the requests in some chunks."""
 
-    async def async_take():
-        work = Work()
-        connection_type = create_pipelined_connection(work)
-        server = ProblemServer(async_never, None, LIMITS, connection_type)
+    async def async_receive():
+        answerer = FakeAnswerer()
+        connection_type = create_pipelined_connection(answerer)
+        server = ProblemServer(async_unexpected_request, None, LIMITS, connection_type)
         connection = server()
-        connection.connection_made(Connected())
+        connection.connection_made(FakeTransport())
         await asyncio.sleep(0)
         for chunk in chunks:
-            work.now += 1
+            answerer.now += 1
             connection.data_received(chunk)
         times = list(connection._messages.times)
         connection.connection_lost(None)
         await asyncio.sleep(0)
         return times
 
-    return asyncio.run(async_take())
+    return asyncio.run(async_receive())
 
 
 def cut(stream, places):
-    """Return the pieces of a stream that is cut at some places."""
+    """Return the chunks of a stream that is split at some positions."""
     edges = [0, *sorted({place % len(stream) for place in places} - {0}), len(stream)]
     return [stream[a:b] for a, b in zip(edges, edges[1:], strict=False)]
 
@@ -94,33 +94,33 @@
 
 
 REQUESTS = [GET, EMPTY, SIZED, CHUNKED, TRAILERS]
-PLACES = st.lists(st.integers(0, 800), max_size=12)
+CUTS = st.lists(st.integers(0, 800), max_size=12)
 
 
-@given(st.lists(st.sampled_from(REQUESTS), min_size=1, max_size=6), PLACES)
+@given(st.lists(st.sampled_from(REQUESTS), min_size=1, max_size=6), CUTS)
 def test_a_request_counts_from_the_chunk_with_its_first_byte(parts, places):
     chunks = cut(b"".join(parts), places)
-    assert times_of(chunks) == first_chunks(parts, chunks)
+    assert arrival_times(chunks) == first_chunks(parts, chunks)
 
 
 @given(
     st.lists(st.sampled_from([*REQUESTS, PARTS, BLANK]), min_size=1, max_size=6),
-    PLACES,
+    CUTS,
 )
 def test_a_request_never_counts_from_before_its_first_byte(parts, places):
-    # Bodies and blank lines may look like the end of a head. Taken for the beginning of
-    # a request, the pause until the caller's next one would count as that one's time.
+    # Bodies and blank lines may look like the end of a head. If they counted as the
+    # start of a request, the idle time before the next request would count as its time.
     chunks = cut(b"".join(parts), places)
-    found, right = times_of(chunks), first_chunks(parts, chunks)
+    found, right = arrival_times(chunks), first_chunks(parts, chunks)
     assert len(found) == len(right)
     assert all(one >= other for one, other in zip(found, right, strict=True))
 
 
 @pytest.mark.parametrize("rest", [b"", BLANK, BLANK + BLANK, b"\r", b"\n"])
 @pytest.mark.parametrize("parts", [GET, EMPTY, SIZED, CHUNKED, TRAILERS, PARTS])
-def test_line_ends_behind_a_request_begin_none(parts, rest):
-    assert times_of([parts + BLANK, rest, GET])[1] == 2
+def test_line_ends_after_a_request_start_no_request(parts, rest):
+    assert arrival_times([parts + BLANK, rest, GET])[1] == 2
 
 
-def test_what_comes_behind_an_upgrade_leaves_the_order_of_times():
-    assert times_of([GET, UPGRADE + GET, GET])[:2] == [0, 1]
+def test_bytes_after_an_upgrade_keep_the_order_of_times():
+    assert arrival_times([GET, UPGRADE + GET, GET])[:2] == [0, 1]
--- a/packages/node/tests/test_gateway_connect_times.py
+++ b/packages/node/tests/test_gateway_connect_times.py
@@ -1,4 +1,4 @@
-"""What connections that are made, refused or given up tell of a host's link."""
+"""Check how opened, refused and abandoned connections count for the link delay."""
 
 import asyncio
 from types import SimpleNamespace
@@ -10,7 +10,7 @@
 from greengagepoint_node.gateway.connect_times import trace_connections
 
 
-class Clock:
+class FakeClock:
     now = 10.0
 
     def monotonic(self):
@@ -18,7 +18,7 @@
 
 
 async def async_connect(trace, clock, seconds, error):
-    """Go through what the client tells of one connection."""
+    """Call the trace handlers of one connection attempt."""
     context = SimpleNamespace()
     for begin in trace.on_connection_create_start:
         await begin(None, context, None)
@@ -43,13 +43,11 @@
     ],
     ids=["made", "refused", "caller left", "limit", "no answer"],
 )
-async def test_only_connections_that_end_by_themselves_show_a_free_link(
-    seconds, error, full
-):
-    # A host's link is full, and callers who see nothing come of it leave. Taken for a
-    # connection that was made as fast, each of them made the link look free, and the
-    # host sent the others on news that was too old.
-    link, clock = LinkDelay(), Clock()
+async def test_only_completed_connections_are_counted_as_fast(seconds, error, full):
+    # On a saturated link, callers time out and disconnect. If an abandoned connection
+    # counted as a fast one, the link would look free and the host would send requests
+    # with an outdated view.
+    link, clock = LinkDelay(), FakeClock()
     trace = trace_connections(link, clock)
     for _ in range(SAMPLES_MIN):
         await async_connect(trace, clock, 0.3, None)
@@ -58,8 +56,8 @@
     assert link.is_full(clock.now) is full
 
 
-async def test_a_failure_after_the_connection_was_made_says_nothing_of_it():
-    link, clock = LinkDelay(), Clock()
+async def test_a_failure_after_connecting_is_not_counted_again():
+    link, clock = LinkDelay(), FakeClock()
     trace = trace_connections(link, clock)
     context = SimpleNamespace()
     params = SimpleNamespace(exception=aiohttp.ClientError("reset"))
--- a/packages/node/tests/test_gateway_quarantine.py
+++ b/packages/node/tests/test_gateway_quarantine.py
@@ -1,4 +1,4 @@
-"""What callers get whose requests end the servers that run them."""
+"""Check the responses to requests that crash servers."""
 
 import asyncio
 
@@ -12,52 +12,52 @@
 from greengagepoint_standins.users_platform.backend import Manner
 
 FATAL = "/safe/fatal"
-# Callers who were refused together are told times that differ by a quarter.
+# Retry-After is spread by a quarter to either side.
 SPREAD = 0.25
 
 
-def set_manner(world, manner):
-    for backend in world.backends:
+def set_manner(env, manner):
+    for backend in env.backends:
         backend.manner = manner
 
 
-async def async_refused(world, path=FATAL, **fields):
-    """Let three servers end beneath a request, and all others answer well again."""
-    set_manner(world, Manner.FATAL)
-    while world.ran() < 3:
-        assert (await world.async_call(path, **fields))[0] == 502
-    set_manner(world, Manner.GOOD)
+async def async_quarantine(env, path=FATAL, **fields):
+    """Crash three servers with a request, then let all others answer normally."""
+    set_manner(env, Manner.FATAL)
+    while env.ran() < 3:
+        assert (await env.async_call(path, **fields))[0] == 502
+    set_manner(env, Manner.GOOD)
 
 
-def forget_ended(world):
-    """Let the entries of the servers that ended lapse."""
-    view = world.daemon.view
-    for backend in world.backends:
+def expire_crashed(env):
+    """Remove the entries of crashed servers from the view."""
+    view = env.daemon.view
+    for backend in env.backends:
         if backend.stopped.is_set():
-            gone = RemovedKey(backend.instance, view.revision + 1)
-            view.apply(Changes((gone,), gone.revision), world.clock.monotonic())
+            removal = RemovedKey(backend.instance, view.revision + 1)
+            view.apply(Changes((removal,), removal.revision), env.clock.monotonic())
 
 
-def told(world, event):
-    return [row["content"] for row in world.events.of(event)]
+def logged_contents(env, event):
+    return [row["content"] for row in env.events.of(event)]
 
 
 @pytest.mark.parametrize(
     ("path", "method", "body", "calls"),
     [(FATAL, "GET", None, 2), ("/unsafe/fatal", "POST", b"order", 3)],
 )
-async def test_a_refused_request_has_not_run_and_is_told_when_to_return(
+async def test_a_quarantined_request_is_not_run_and_gets_a_retry_delay(
     path, method, body, calls
 ):
-    async with async_world(servers=5) as world:
-        await async_refused(world, path, method=method, data=body)
-        assert world.count == calls
-        status, _, headers = await world.async_call(path, method, data=body)
-        assert (status, world.ran()) == (503, 3)
+    async with async_world(servers=5) as env:
+        await async_quarantine(env, path, method=method, data=body)
+        assert env.count == calls
+        status, _, headers = await env.async_call(path, method, data=body)
+        assert (status, env.ran()) == (503, 3)
         seconds = float(headers["Retry-After"])
         assert seconds == pytest.approx(REFUSED_SECONDS[0], rel=SPREAD + 0.05)
-        assert len(told(world, Event.REQUEST_QUARANTINED)) == 1
-        row = world.events.of(Event.REQUEST_REFUSED)[-1]
+        assert len(logged_contents(env, Event.REQUEST_QUARANTINED)) == 1
+        row = env.events.of(Event.REQUEST_REFUSED)[-1]
         assert (row["kind"], row["ends"]) == ("quarantined", 3)
 
 
@@ -71,112 +71,114 @@
     ],
 )
 async def test_other_requests_are_served(other):
-    async with async_world(servers=5) as world:
-        await async_refused(world)
-        assert (await world.async_call(FATAL))[0] == 503
-        assert (await world.async_call(**other))[0] == 200
+    async with async_world(servers=5) as env:
+        await async_quarantine(env)
+        assert (await env.async_call(FATAL))[0] == 503
+        assert (await env.async_call(**other))[0] == 200
 
 
-async def test_a_request_that_is_answered_in_between_stays_served():
-    async with async_world(servers=8) as world:
+async def test_a_request_answered_between_crashes_is_not_quarantined():
+    async with async_world(servers=8) as env:
         for _ in range(3):
-            set_manner(world, Manner.FATAL)
-            assert (await world.async_call(FATAL, "POST"))[0] == 502
-            set_manner(world, Manner.GOOD)
-            assert (await world.async_call(FATAL, "POST"))[0] == 200
-        assert told(world, Event.REQUEST_QUARANTINED) == []
+            set_manner(env, Manner.FATAL)
+            assert (await env.async_call(FATAL, "POST"))[0] == 502
+            set_manner(env, Manner.GOOD)
+            assert (await env.async_call(FATAL, "POST"))[0] == 200
+        assert logged_contents(env, Event.REQUEST_QUARANTINED) == []
 
 
 @pytest.mark.parametrize(
     ("manner", "status", "refused_seconds"),
     [(Manner.GOOD, 200, 0.0), (Manner.FATAL, 502, REFUSED_SECONDS[1])],
 )
-async def test_it_is_tried_again_once_the_refusal_has_lapsed(
+async def test_a_request_is_tried_again_when_its_quarantine_expires(
     manner, status, refused_seconds
 ):
-    async with async_world(servers=6) as world:
-        await async_refused(world)
-        set_manner(world, manner)
-        forget_ended(world)
-        world.clock.ahead += REFUSED_SECONDS[0] + 0.1
-        before = world.ran()
-        assert (await world.async_call(FATAL))[0] == status
-        assert world.ran() == before + 1
-        content = told(world, Event.REQUEST_QUARANTINED)[0]
-        held = world.daemon.quarantine.table.held(world.clock.monotonic())
+    async with async_world(servers=6) as env:
+        await async_quarantine(env)
+        set_manner(env, manner)
+        expire_crashed(env)
+        env.clock.ahead += REFUSED_SECONDS[0] + 0.1
+        before = env.ran()
+        assert (await env.async_call(FATAL))[0] == status
+        assert env.ran() == before + 1
+        content = logged_contents(env, Event.REQUEST_QUARANTINED)[0]
+        held = env.daemon.quarantine.table.held(env.clock.monotonic())
         assert held.get(content, 0.0) == pytest.approx(refused_seconds, abs=1.0)
         if not refused_seconds:
-            await async_until(lambda: told(world, Event.REQUEST_RELEASED) == [content])
+            await async_until(
+                lambda: logged_contents(env, Event.REQUEST_RELEASED) == [content]
+            )
 
 
 async def test_copies_of_a_suspected_request_run_one_at_a_time():
-    async with async_world(servers=6) as world:
-        set_manner(world, Manner.FATAL)
-        assert (await world.async_call(FATAL))[0] == 502
-        set_manner(world, Manner.GOOD)
-        for backend in world.backends:
+    async with async_world(servers=6) as env:
+        set_manner(env, Manner.FATAL)
+        assert (await env.async_call(FATAL))[0] == 502
+        set_manner(env, Manner.GOOD)
+        for backend in env.backends:
             backend.seconds = 0.3
-        calls = [world.async_call(FATAL) for _ in range(4)]
+        calls = [env.async_call(FATAL) for _ in range(4)]
         statuses = [status for status, _, _ in await asyncio.gather(*calls)]
         assert sorted(statuses) == [200, 503, 503, 503]
-        assert (await world.async_call(FATAL))[0] == 200
+        assert (await env.async_call(FATAL))[0] == 200
 
 
-async def test_a_suspected_request_leaves_the_servers_of_its_key():
+async def test_a_suspected_request_avoids_the_servers_of_its_key():
     key = {"Cookie": "X-Greengagepoint-Affinity-Key=7"}
-    async with async_world(servers=8, affinity=True) as world:
-        set_manner(world, Manner.FATAL)
-        assert (await world.async_call(FATAL, headers=key))[0] == 502
-        set_manner(world, Manner.GOOD)
-        ranked = [await world.async_call("/safe/1", headers=key) for _ in range(3)]
+    async with async_world(servers=8, affinity=True) as env:
+        set_manner(env, Manner.FATAL)
+        assert (await env.async_call(FATAL, headers=key))[0] == 502
+        set_manner(env, Manner.GOOD)
+        ranked = [await env.async_call("/safe/1", headers=key) for _ in range(3)]
         assert {status for status, _, _ in ranked} == {200}
         chosen = []
-        place = world.daemon.placer.place
+        place = env.daemon.placer.place
 
         def record_key(call, tried, now):
             chosen.append(call.key)
             return place(call, tried, now)
 
-        world.daemon.placer.place = record_key
-        assert (await world.async_call(FATAL, headers=key))[0] == 200
-        assert (await world.async_call(FATAL, headers=key))[0] == 200
+        env.daemon.placer.place = record_key
+        assert (await env.async_call(FATAL, headers=key))[0] == 200
+        assert (await env.async_call(FATAL, headers=key))[0] == 200
         assert [key.endswith("\0" + "7") for key in chosen] == [False, True]
 
 
 @pytest.mark.parametrize("bystander", [True, False])
-async def test_a_caller_that_leaves_before_its_server_ends_is_found_out(bystander):
-    async with async_world(servers=1, seconds=0.3) as world:
-        server = world.backends[0]
+async def test_an_abandoned_request_that_crashes_its_server_is_suspected(bystander):
+    async with async_world(servers=1, seconds=0.3) as env:
+        server = env.backends[0]
         paths = [FATAL, "/safe/other"] if bystander else [FATAL]
-        calls = [asyncio.create_task(world.async_call(path)) for path in paths]
+        calls = [asyncio.create_task(env.async_call(path)) for path in paths]
         await async_until(lambda: len(server.ran) == len(paths))
         calls[0].cancel()
         await async_until(lambda: server.cancelled)
         await server.async_crash()
         if not bystander:
-            # The next request finds nobody at the server's address.
-            assert (await world.async_call("/safe/next"))[0] == 503
+            # The next request finds nothing listening at the server's address.
+            assert (await env.async_call("/safe/next"))[0] == 503
         await asyncio.wait(calls)
-        suspects = world.daemon.quarantine.table.suspects
+        suspects = env.daemon.quarantine.table.suspects
         await async_until(lambda: len(suspects) == len(paths))
 
 
-async def test_a_caller_that_leaves_a_sound_server_is_not_suspected():
-    async with async_world(servers=1, seconds=0.3) as world:
-        server = world.backends[0]
-        call = asyncio.create_task(world.async_call(FATAL))
+async def test_an_abandoned_request_at_a_healthy_server_is_not_suspected():
+    async with async_world(servers=1, seconds=0.3) as env:
+        server = env.backends[0]
+        call = asyncio.create_task(env.async_call(FATAL))
         await async_until(lambda: server.ran)
         call.cancel()
         await async_until(lambda: server.cancelled)
-        watches = world.daemon.gateway.server_crashes.watches
+        watches = env.daemon.gateway.server_crashes.watches
         await async_until(lambda: watches)
         await async_until(lambda: not watches)
-        assert not world.daemon.quarantine.table.suspects
+        assert not env.daemon.quarantine.table.suspects
 
 
-async def test_peers_messages_that_can_not_be_read_are_rejected():
-    async with async_world(servers=1) as world:
-        url = f"http://{world.daemon.settings.peer_address}/v1/quarantine"
-        async with world.session.post(url, data=b"\xc1") as answer:
+async def test_undecodable_peer_messages_are_rejected():
+    async with async_world(servers=1) as env:
+        url = f"http://{env.daemon.settings.peer_address}/v1/quarantine"
+        async with env.session.post(url, data=b"\xc1") as answer:
             assert answer.status == 400
-        assert world.events.of(Event.PEER_MESSAGE_REJECTED)
+        assert env.events.of(Event.PEER_MESSAGE_REJECTED)
