--- a/packages/node/tests/gateway_world.py
+++ b/packages/node/tests/gateway_world.py
@@ -136,7 +136,7 @@
     ]
 
 
-class World:
+class GatewayEnvironment:
     """A daemon with backend servers and a caller's session."""
 
     def __init__(self, daemon: GatewayDaemon, backends: list[PlatformBackend]) -> None:
@@ -168,7 +168,7 @@
         ) as answer:
             return answer.status, await answer.read(), dict(answer.headers)
 
-    async def async_stop_news(self) -> None:
+    async def async_stop_updates(self) -> None:
         """Cut the host off from updates of the store and of peers."""
         await async_until(self.daemon.gossip.ages.is_current)
         self.clock.stop()
@@ -272,7 +272,7 @@
         revoke_seconds=REVOKE_SECONDS,
     )
     await daemon.async_start()
-    env = World(daemon, backends)
+    env = GatewayEnvironment(daemon, backends)
     try:
         await async_until(daemon.is_ready)
         yield env
--- a/packages/node/tests/test_gateway_accounts.py
+++ b/packages/node/tests/test_gateway_accounts.py
@@ -139,7 +139,7 @@
     """Guard against a revoked key that stays valid on a partitioned host."""
     async with async_world(accounts=ACCOUNTS, rows=rows) as env:
         assert (await env.async_call("/safe/1", headers=bearer(KEY)))[0] == 200
-        await env.async_stop_news()
+        await env.async_stop_updates()
         env.clock.ahead += env.daemon.settings.revoke_seconds
         ran = env.ran()
         answer = await env.async_call("/safe/1", headers=bearer(KEY))
@@ -155,7 +155,7 @@
     async with async_world(accounts=ACCOUNTS) as env:
         own = env.daemon.settings.front_address
         assert env.daemon.directory.addresses("north") == [own]
-        await env.async_stop_news()
+        await env.async_stop_updates()
         env.clock.ahead += env.daemon.settings.revoke_seconds
         assert env.daemon.directory.addresses("north") == []
 
@@ -163,7 +163,7 @@
 async def test_an_unknown_key_gets_503_while_the_view_may_be_outdated():
     """Guard against a final 401 from a host that does not have a new key yet."""
     async with async_world(accounts=ACCOUNTS) as env:
-        await env.async_stop_news()
+        await env.async_stop_updates()
         env.clock.ahead += 3.0
         status, _, headers = await env.async_call("/safe/1", headers=bearer("new"))
         assert (status, "Retry-After" in headers) == (503, True)
--- a/packages/node/tests/test_gateway_leaving_servers.py
+++ b/packages/node/tests/test_gateway_leaving_servers.py
@@ -166,7 +166,7 @@
     # must retry at another host. A store outage that peers confirm, or a partition from
     # all peers, does not mean a saturated link: requests are served on.
     async with async_world(drain_seconds=3.0) as env:
-        await env.async_stop_news()
+        await env.async_stop_updates()
         await async_connect(env, connect_seconds)
         set_view_age(env, news_age)
         if peer:
@@ -184,7 +184,7 @@
     # The server of a payment is chosen in time. Connecting takes half a second more on
     # a saturated link, and the view is too old when the first byte could be sent.
     async with async_world(drain_seconds=3.0) as env:
-        await env.async_stop_news()
+        await env.async_stop_updates()
         await async_connect(env, 0.3)
         set_view_age(env, 2.5)
         ran = env.ran()
