--- a/packages/node/greengagepoint_node/gateway/call.py
+++ b/packages/node/greengagepoint_node/gateway/call.py
@@ -9,7 +9,7 @@
 from greengagepoint.errors import ErrorKind
 from greengagepoint.routing.tables import Route, RouteTable, find_route
 from greengagepoint_node.gateway.names import HeaderNames
-from greengagepoint_node.gateway.refusals import OLD_NEWS_RETRY_SECONDS, Refusal
+from greengagepoint_node.gateway.refusals import OUTDATED_VIEW_RETRY_SECONDS, Refusal
 
 # The caller's deadline starts about 3 ms before the request arrives, and the answer
 # takes as long to reach the caller.
@@ -64,7 +64,7 @@
     }
     if not is_current():
         reason += ", which may be outdated"
-        retry_after = OLD_NEWS_RETRY_SECONDS
+        retry_after = OUTDATED_VIEW_RETRY_SECONDS
         raise Refusal(ErrorKind.NOT_READY, 503, reason, retry_after, inputs)
     raise Refusal(ErrorKind.UNKNOWN_SERVICE, 404, reason, inputs=inputs)
 
--- a/packages/node/greengagepoint_node/gateway/caller_accounts.py
+++ b/packages/node/greengagepoint_node/gateway/caller_accounts.py
@@ -12,7 +12,7 @@
 from greengagepoint.protocols import Clock
 from greengagepoint.routing.tables import Route, RouteTable
 from greengagepoint_node.gateway.counters import GatewayCounters
-from greengagepoint_node.gateway.refusals import OLD_NEWS_RETRY_SECONDS, Refusal
+from greengagepoint_node.gateway.refusals import OUTDATED_VIEW_RETRY_SECONDS, Refusal
 
 SCHEME: Final = "bearer"
 
@@ -81,7 +81,7 @@
         retry_after = admission.retry_seconds
         raise Refusal(ErrorKind.ACCOUNT_LIMIT, 429, reason, retry_after, inputs)
 
-    def serves_keys(self) -> bool:
+    def can_serve_keys(self) -> bool:
         """Return True if this host can serve callers that need a key."""
         return not self.has_accounts() or self._can_verify_keys()
 
@@ -96,7 +96,7 @@
         reason = f"keys of configuration {table.version} may have been revoked"
         age = self.config_freshness.age(self.clock.monotonic())
         inputs = {"certainty_age": _rounded(age)}
-        kind, retry_after = ErrorKind.NOT_READY, OLD_NEWS_RETRY_SECONDS
+        kind, retry_after = ErrorKind.NOT_READY, OUTDATED_VIEW_RETRY_SECONDS
         return Refusal(kind, 503, reason, retry_after, inputs)
 
     def _unknown_key_rejection(self, table: RouteTable) -> Refusal:
@@ -109,7 +109,7 @@
         if self.is_current():
             return Refusal(ErrorKind.UNAUTHENTICATED, 401, reason)
         reason += ", which may be outdated"
-        return Refusal(ErrorKind.NOT_READY, 503, reason, OLD_NEWS_RETRY_SECONDS)
+        return Refusal(ErrorKind.NOT_READY, 503, reason, OUTDATED_VIEW_RETRY_SECONDS)
 
 
 def read_key(request: web.BaseRequest) -> str | None:
--- a/packages/node/greengagepoint_node/gateway/daemon.py
+++ b/packages/node/greengagepoint_node/gateway/daemon.py
@@ -215,7 +215,7 @@
             ),
         )
         self.directory = HostDirectory(
-            self.view, self.gossip, self.clock, self.gateway.accounts.serves_keys
+            self.view, self.gossip, self.clock, self.gateway.accounts.can_serve_keys
         )
         self.follower = StoreFollower(
             self.store,
@@ -293,7 +293,7 @@
         withdrawal = asyncio.create_task(self.registration.async_withdraw())
         ends_at = began + self.settings.stop_seconds - 2 * CLOSING_SECONDS
         await asyncio.sleep(self.settings.stop_seconds * ACCEPTING_SHARE)
-        self.gateway.refusing = True
+        self.gateway.rejecting = True
         while not self.gateway.is_quiet(QUIET_SECONDS):
             if self.clock.monotonic() > ends_at:
                 break
--- a/packages/node/greengagepoint_node/gateway/directory.py
+++ b/packages/node/greengagepoint_node/gateway/directory.py
@@ -28,12 +28,12 @@
         view: FleetView,
         hosts: KnownHosts,
         clock: Clock,
-        serves_keys: Callable[[], bool] = lambda: True,
+        can_serve_keys: Callable[[], bool] = lambda: True,
     ) -> None:
         self.view = view
         self.hosts = hosts
         self.clock = clock
-        self.serves_keys = serves_keys
+        self.can_serve_keys = can_serve_keys
 
     def addresses(self, region: str, caller: str = "") -> list[str]:
         """Return host:port of the hosts that a caller of a region should use.
@@ -46,7 +46,7 @@
         """
         now = self.clock.monotonic()
         alive = [state.entry for state in self.hosts.table.alive(now)]
-        if not self.serves_keys():
+        if not self.can_serve_keys():
             # Callers that need a key would be refused here.
             own = self.hosts.table.own.entry.name
             alive = [entry for entry in alive if entry.name != own]
--- a/packages/node/greengagepoint_node/gateway/handler.py
+++ b/packages/node/greengagepoint_node/gateway/handler.py
@@ -39,8 +39,8 @@
 from greengagepoint_node.gateway.placing import Placer
 from greengagepoint_node.gateway.refusals import (
     Refusal,
-    no_answer,
-    no_place,
+    no_answer_refusal,
+    no_server_refusal,
     refusal_response,
 )
 from greengagepoint_node.gateway.request_quarantine import RequestQuarantine
@@ -84,7 +84,7 @@
         self.split = WeightedSplit()
         self.in_flight = 0
         self.leaving = False
-        self.refusing = False
+        self.rejecting = False
         self.last_request_at = clock.monotonic()
         self.outcomes = Outcomes(view, counters, clock, events)
         self.request_headers = RequestHeaders(names)
@@ -143,12 +143,12 @@
         call: Call | None = None
         outcome: ErrorKind | str = ErrorKind.INTERNAL
         try:
-            if self.refusing:
+            if self.rejecting:
                 reason = "this host is about to exit"
                 raise Refusal(ErrorKind.HOST_LEAVING, 503, reason, 0.0)
             call = self._parse(request, request_id, arrived_at)
             if call.ends_at - now < SECONDS_LEFT_MIN:
-                raise no_answer(None, may_have_run=False)
+                raise no_answer_refusal(None, may_have_run=False)
             body = await self._async_body(request, call)
             response = await self._async_serve(request, call, body)
             outcome = ANSWERED
@@ -233,7 +233,7 @@
             if may_have_run and not call.route.repeatable:
                 break
             server = outgoing.successor
-        raise no_answer(last, may_have_run=may_have_run)
+        raise no_answer_refusal(last, may_have_run=may_have_run)
 
     def next_server(
         self, call: Call, attempts: Attempts, last: Verdict | None
@@ -251,7 +251,7 @@
         place = self.placer.place(call, tried, self.clock.monotonic())
         if not tried:
             if isinstance(place, NoPlace):
-                raise no_place(call.service, place)
+                raise no_server_refusal(call.service, place)
             self.retries.deposit(call.service, self.clock.monotonic())
             return place
         if isinstance(place, NoPlace) or not self._withdraw_retry(call, last):
--- a/packages/node/greengagepoint_node/gateway/news_guard.py
+++ b/packages/node/greengagepoint_node/gateway/news_guard.py
@@ -6,7 +6,7 @@
 from greengagepoint.overload.full_link import LinkDelay, may_send
 from greengagepoint.protocols import Clock
 from greengagepoint_node.gateway.news_ages import News
-from greengagepoint_node.gateway.refusals import OLD_NEWS_RETRY_SECONDS, Refusal
+from greengagepoint_node.gateway.refusals import OUTDATED_VIEW_RETRY_SECONDS, Refusal
 
 REASON: Final = "this host's link is full and its news too old"
 
@@ -43,5 +43,5 @@
             "news_age": round(now - self.news.informed_at(), 3),
             "link_seconds": round(self.link.seconds(now), 3),
         }
-        kind, retry_after = ErrorKind.NOT_READY, OLD_NEWS_RETRY_SECONDS
+        kind, retry_after = ErrorKind.NOT_READY, OUTDATED_VIEW_RETRY_SECONDS
         return Refusal(kind, 503, REASON, retry_after, inputs)
--- a/packages/node/greengagepoint_node/gateway/refusals.py
+++ b/packages/node/greengagepoint_node/gateway/refusals.py
@@ -14,7 +14,7 @@
 
 RETRY_AFTER_MIN_SECONDS: Final = 0.05
 # A host with an outdated view polls a peer every half second.
-OLD_NEWS_RETRY_SECONDS: Final = 0.5
+OUTDATED_VIEW_RETRY_SECONDS: Final = 0.5
 # Retry delay if all servers shed the request and sent no Retry-After.
 SHED_RETRY_SECONDS: Final = 0.1
 # Retry-After is spread by a quarter to either side, so that callers rejected together
@@ -72,7 +72,7 @@
         return Event.REQUEST_FAILED
 
 
-def no_place(service: str, place: NoPlace) -> Refusal:
+def no_server_refusal(service: str, place: NoPlace) -> Refusal:
     """Return the refusal of a request for which no server is available."""
     if place.servers_known:
         kind, reason = ErrorKind.OVERLOADED, "all servers are busy"
@@ -88,7 +88,7 @@
     return Refusal(kind, 503, f"{reason}: {service}", place.retry_seconds, inputs)
 
 
-def no_answer(last: Exchange | None, *, may_have_run: bool) -> Refusal:
+def no_answer_refusal(last: Exchange | None, *, may_have_run: bool) -> Refusal:
     """Return the refusal of a request after attempts without an answer.
 
     ``last`` is the result of the last attempt, None if there was none.
@@ -102,7 +102,7 @@
         return Refusal(kind, status, f"may have run: {last.verdict}")
     seconds = SHED_RETRY_SECONDS if last.retry_after is None else last.retry_after
     if last.verdict is Verdict.OLD_NEWS:
-        seconds = OLD_NEWS_RETRY_SECONDS
+        seconds = OUTDATED_VIEW_RETRY_SECONDS
     return Refusal(kind, 503, f"not run: {last.verdict}", seconds)
 
 
--- a/packages/node/tests/gateway_runs.py
+++ b/packages/node/tests/gateway_runs.py
@@ -1,6 +1,6 @@
 """Build fleet views and the store items of a server's incarnations."""
 
-from gateway_world import ZONES, Lines
+from gateway_world import ZONES, EventLog
 
 from greengagepoint.errors import RecordError
 from greengagepoint.placing.tables import Incarnation
@@ -19,7 +19,7 @@
 
 NOW = 50.0
 LATER = NOW + 10 * LAPSED_SECONDS
-HERE, THERE = "10.0.0.1:1", "10.0.0.2:1"
+ADDRESS, OTHER_ADDRESS = "10.0.0.1:1", "10.0.0.2:1"
 POLICY = ServicePolicy(name="booking", cold_seconds=3.0, cold_requests_per_second=16)
 
 
@@ -45,18 +45,18 @@
 
 
 def view():
-    return FleetView(ZONES, decode, Lines())
+    return FleetView(ZONES, decode, EventLog())
 
 
-def write(revision, born, address=HERE, state="ready", cold=0, key="i-1"):
+def stored_item(revision, born, address=ADDRESS, state="ready", cold=0, key="i-1"):
     return StoredItem(key, f"{born},{address},{state},{cold}".encode(), revision)
 
 
-def bad(revision, key="i-1"):
+def undecodable_item(revision, key="i-1"):
     return StoredItem(key, b"?", revision)
 
 
-def tell(fleet, *changes, now=NOW, lapsed=()):
+def apply_changes(fleet, *changes, now=NOW, lapsed=()):
     for change in changes:
         doubts = dict.fromkeys(lapsed, LAPSED_SECONDS)
         fleet.apply(Changes((change,), change.revision), now, doubts)
@@ -67,11 +67,11 @@
     return {row.incarnation for group in found for row in group.servers}
 
 
-def run(born, address=HERE, key="i-1"):
+def server_incarnation(born, address=ADDRESS, key="i-1"):
     return Incarnation(key, born, address)
 
 
-def started(born=100, **fields):
+def view_with_server(born=100, **fields):
     fleet = view()
-    tell(fleet, StoredItem("op", b"", 1), write(2, born, **fields))
+    apply_changes(fleet, StoredItem("op", b"", 1), stored_item(2, born, **fields))
     return fleet
--- a/packages/node/tests/gateway_world.py
+++ b/packages/node/tests/gateway_world.py
@@ -45,7 +45,7 @@
 Accounts = Sequence[tuple[Account, list[str]]]
 
 
-class Lines:
+class EventLog:
     """Record events with their fields."""
 
     def __init__(self) -> None:
@@ -58,7 +58,7 @@
         return [fields for kind, fields in self.rows if kind is event]
 
 
-class MovedClock(SystemClock):
+class AdjustableClock(SystemClock):
     """System clock that a test can advance and stop."""
 
     def __init__(self) -> None:
@@ -142,8 +142,8 @@
     def __init__(self, daemon: GatewayDaemon, backends: list[PlatformBackend]) -> None:
         self.daemon = daemon
         self.backends = backends
-        self.events: Lines = daemon.events
-        self.clock: MovedClock = daemon.clock
+        self.events: EventLog = daemon.events
+        self.clock: AdjustableClock = daemon.clock
         self.session = aiohttp.ClientSession()
         self.count = 0
 
@@ -178,7 +178,7 @@
         await asyncio.wait(following)
 
     @contextlib.contextmanager
-    def held_connections(self):
+    def blocked_connections(self):
         """Block new connections to servers until the end of the context."""
         released = asyncio.Event()
         waiting = asyncio.Event()
@@ -224,8 +224,8 @@
         lambda item: facts[item.key],
         lambda directory: None,
         "/ready",
-        MovedClock(),
-        Lines(),
+        AdjustableClock(),
+        EventLog(),
     )
 
 
@@ -247,7 +247,7 @@
 
 
 @contextlib.asynccontextmanager
-async def async_world(
+async def async_environment(
     servers: int = 2,
     seconds: float = 0.0,
     *,
--- a/packages/node/tests/test_gateway_accounts.py
+++ b/packages/node/tests/test_gateway_accounts.py
@@ -4,7 +4,7 @@
 
 import pytest
 from deployment import async_until
-from gateway_world import NAMES, async_world, routes
+from gateway_world import NAMES, async_environment, routes
 
 from greengagepoint.accounts.bounds import STRICT
 from greengagepoint.accounts.tables import Account
@@ -73,7 +73,7 @@
     headers, status, relayed, path
 ):
     """Guard against forged accounts and keys that reach a backend server."""
-    async with async_world(accounts=ACCOUNTS) as env:
+    async with async_environment(accounts=ACCOUNTS) as env:
         method = "POST" if path.startswith("/unsafe") else "GET"
         answer = await env.async_call(path, method, headers=headers)
         assert answer[0] == status
@@ -82,7 +82,7 @@
 
 
 async def test_a_request_with_two_keys_is_rejected():
-    async with async_world(accounts=ACCOUNTS) as env:
+    async with async_environment(accounts=ACCOUNTS) as env:
         headers = [*env.headers().items(), *2 * [*bearer(KEY).items()]]
         async with env.session.get(f"{env.url}/safe/1", headers=headers) as answer:
             assert answer.status == 401
@@ -99,14 +99,14 @@
     ],
 )
 async def test_a_public_route_needs_no_key_and_relays_none(headers, relayed):
-    async with async_world(accounts=ACCOUNTS, rows=public_routes()) as env:
+    async with async_environment(accounts=ACCOUNTS, rows=public_routes()) as env:
         answer = await env.async_call("/safe/1", headers=headers)
         assert answer[0] == 200
         assert account_headers(env) == [relayed]
 
 
 async def test_without_accounts_credentials_are_relayed():
-    async with async_world() as env:
+    async with async_environment() as env:
         await env.async_call("/safe/1", headers=bearer(KEY))
         assert account_headers(env) == [{"authorization": f"Bearer {KEY}"}]
 
@@ -119,7 +119,7 @@
 
 async def test_keys_are_not_in_log_lines_or_metrics():
     """Guard against keys in places that other people can read."""
-    async with async_world(accounts=(*ACCOUNTS, SMALL), metrics=True) as env:
+    async with async_environment(accounts=(*ACCOUNTS, SMALL), metrics=True) as env:
         small = SMALL[1][0]
         await async_fetch_limit(env, small)
         for key in [KEY, "nobody's", *20 * [small]]:
@@ -137,7 +137,7 @@
 )
 async def test_a_host_without_updates_rejects_keys(rows, status):
     """Guard against a revoked key that stays valid on a partitioned host."""
-    async with async_world(accounts=ACCOUNTS, rows=rows) as env:
+    async with async_environment(accounts=ACCOUNTS, rows=rows) as env:
         assert (await env.async_call("/safe/1", headers=bearer(KEY)))[0] == 200
         await env.async_stop_updates()
         env.clock.ahead += env.daemon.settings.revoke_seconds
@@ -152,7 +152,7 @@
 
 
 async def test_lookups_leave_out_a_host_that_rejects_keys():
-    async with async_world(accounts=ACCOUNTS) as env:
+    async with async_environment(accounts=ACCOUNTS) as env:
         own = env.daemon.settings.front_address
         assert env.daemon.directory.addresses("north") == [own]
         await env.async_stop_updates()
@@ -162,7 +162,7 @@
 
 async def test_an_unknown_key_gets_503_while_the_view_may_be_outdated():
     """Guard against a final 401 from a host that does not have a new key yet."""
-    async with async_world(accounts=ACCOUNTS) as env:
+    async with async_environment(accounts=ACCOUNTS) as env:
         await env.async_stop_updates()
         env.clock.ahead += 3.0
         status, _, headers = await env.async_call("/safe/1", headers=bearer("new"))
@@ -170,7 +170,7 @@
 
 
 async def test_a_key_revoked_while_receiving_a_slow_body_is_rejected():
-    async with async_world(accounts=ACCOUNTS) as env:
+    async with async_environment(accounts=ACCOUNTS) as env:
         sent = asyncio.Event()
 
         async def async_body():
@@ -204,7 +204,7 @@
 
 async def test_an_account_over_its_limit_does_not_affect_others():
     """Guard against a flood of one account that uses up the capacity of others."""
-    async with async_world(servers=4, accounts=(SMALL, UNLIMITED)) as env:
+    async with async_environment(servers=4, accounts=(SMALL, UNLIMITED)) as env:
         await async_fetch_limit(env, SMALL[1][0])
         flood = [
             env.async_call("/safe/1", headers=bearer(SMALL[1][0])) for _ in range(60)
@@ -238,7 +238,7 @@
 async def test_home_regions_of_route_and_account_both_apply(route, account, expected):
     accounts = ((Account(name="one", home_regions=frozenset(account)), [KEY]),)
     regions = frozenset(route)
-    async with async_world(accounts=accounts, home_regions=regions) as env:
+    async with async_environment(accounts=accounts, home_regions=regions) as env:
         answer = await env.async_call("/safe/1", headers=bearer(KEY))
         assert answer[0] == expected
         assert env.ran() == (expected == 200)
--- a/packages/node/tests/test_gateway_arrival.py
+++ b/packages/node/tests/test_gateway_arrival.py
@@ -11,7 +11,7 @@
 
 import pytest
 from deployment import async_until
-from gateway_world import NAMES, async_world
+from gateway_world import NAMES, async_environment
 from raw_caller import async_connection, async_read_answer, request, targets
 
 from greengagepoint.errors import ErrorKind
@@ -28,7 +28,7 @@
 @contextlib.asynccontextmanager
 async def async_frozen_env(**changes):
     """Run a host whose clock only moves when a test advances it."""
-    async with async_world(**changes) as env:
+    async with async_environment(**changes) as env:
         env.clock.stop()
         yield env
 
--- a/packages/node/tests/test_gateway_configuration_loader.py
+++ b/packages/node/tests/test_gateway_configuration_loader.py
@@ -10,7 +10,7 @@
 
 import pytest
 from deployment import async_until
-from gateway_world import ZONES, Lines, async_world
+from gateway_world import ZONES, EventLog, async_environment
 
 from greengagepoint.errors import RecordError
 from greengagepoint.events import Event
@@ -68,7 +68,7 @@
     def __init__(self):
         self.reader = Reader()
         self.loader = ConfigurationLoader(self.reader.in_parts, SystemClock())
-        self.view = FleetView(ZONES, self.reader.decode, Lines(), loader=self.loader)
+        self.view = FleetView(ZONES, self.reader.decode, EventLog(), loader=self.loader)
 
     @property
     def version(self):
@@ -237,7 +237,7 @@
             while True:
                 yield None
 
-    async with async_world() as world:
+    async with async_environment() as world:
         daemon = world.daemon
         daemon.loader.read = endless
         daemon.view.apply(Changes((large("2", 2),), 2), NOW)
@@ -253,7 +253,7 @@
 async def test_a_running_host_spares_the_collector_what_it_has_loaded():
     # A full collection in the middle of a version walked through all that the process
     # has imported, and no caller was answered meanwhile.
-    async with async_world(servers=1) as world:
+    async with async_environment(servers=1) as world:
         running = asyncio.create_task(world.daemon.stop_wanted.wait())
         world.daemon.async_start = lambda: asyncio.sleep(0)
         world.daemon.async_stop = lambda: running
--- a/packages/node/tests/test_gateway_directory.py
+++ b/packages/node/tests/test_gateway_directory.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 import pytest
-from gateway_world import ZONES, Lines
+from gateway_world import ZONES, EventLog
 
 from greengagepoint_node.clock import SystemClock
 from greengagepoint_node.gateway.directory import ADDRESSES_MAX, HostDirectory
@@ -28,7 +28,7 @@
 
     def __init__(self, hosts):
         own, *others = (entry(number) for number in range(hosts))
-        self.table = HostTable(HostState(own, 1, 0, leaving=False), Lines())
+        self.table = HostTable(HostState(own, 1, 0, leaving=False), EventLog())
         for other in others:
             self.table.take_host(HostState(other, 1, 0, leaving=False), NOW)
 
@@ -41,7 +41,7 @@
 
 
 def directory(fleet):
-    view = FleetView(ZONES, lambda item: None, Lines())
+    view = FleetView(ZONES, lambda item: None, EventLog())
     return HostDirectory(view, fleet, Clock())
 
 
--- a/packages/node/tests/test_gateway_end_checks.py
+++ b/packages/node/tests/test_gateway_end_checks.py
@@ -4,7 +4,7 @@
 
 import pytest
 from deployment import async_until
-from gateway_world import async_world
+from gateway_world import async_environment
 
 from greengagepoint.events import Event
 from greengagepoint_standins.users_platform.backend import Manner
@@ -16,7 +16,7 @@
 
 @pytest.mark.parametrize("manner", [Manner.RESET, Manner.TRUNCATED, Manner.GARBAGE])
 async def test_a_server_that_only_breaks_a_connection_has_not_ended(manner):
-    async with async_world(servers=1) as world:
+    async with async_environment(servers=1) as world:
         world.backends[0].manner = manner
         assert (await world.async_call("/safe/1"))[0] == 502
         assert world.events.of(Event.REQUEST_RETRIED)[0]["outcome"] == "broken"
@@ -24,7 +24,7 @@
 
 
 async def test_a_server_that_ends_is_told_with_all_that_it_had_in_flight():
-    async with async_world(servers=1, seconds=5.0) as world:
+    async with async_environment(servers=1, seconds=5.0) as world:
         server = world.backends[0]
         paths = ["/safe/1", "/safe/1", "/safe/2"]
         calls = [asyncio.create_task(world.async_call(path)) for path in paths]
--- a/packages/node/tests/test_gateway_follower.py
+++ b/packages/node/tests/test_gateway_follower.py
@@ -7,7 +7,7 @@
 
 import pytest
 from deployment import async_until
-from gateway_world import ZONES, Lines, MovedClock
+from gateway_world import ZONES, AdjustableClock, EventLog
 
 from greengagepoint.config import watchers
 from greengagepoint.errors import StoreError
@@ -75,7 +75,7 @@
     def __init__(self, must=True):
         self.must = must
         self.is_watcher = must
-        self.ages = NewsAges(MovedClock())
+        self.ages = NewsAges(AdjustableClock())
         self.ages.peers_at = 0.0
         self.confirmed = []
         self.full_link = False
@@ -100,7 +100,7 @@
 async def async_follow(monkeypatch, *answers):
     monkeypatch.setattr(module, "GATHER_SECONDS", 0)
     monkeypatch.setattr(watchers, "PAUSE_SECONDS", 0.001)
-    store, lines = Script(*answers), Lines()
+    store, lines = Script(*answers), EventLog()
     view = FleetView(ZONES, lambda item: None, lines)
     follower = StoreFollower(
         store, view, SystemClock(), random.Random(1), lines, Peers()
@@ -156,7 +156,7 @@
     monkeypatch.setattr(watchers, "PAUSE_SECONDS", 0.001)
     store = Script(*answers)
     entry = HostEntry("h1", "north", "zone-a", "f", "p")
-    registration = HostRegistration(store, entry, random.Random(1), Lines())
+    registration = HostRegistration(store, entry, random.Random(1), EventLog())
     task = asyncio.create_task(registration.async_run())
     await async_until(lambda: len(store.calls) >= len(expected))
     task.cancel()
@@ -169,9 +169,9 @@
     monkeypatch.setattr(module, "LOOK_SECONDS", 0.001)
     monkeypatch.setattr(module, "GATHER_SECONDS", 0)
     store, peers = Script(Snapshot((), 4), Changes((), 5), Changes((), 6)), Peers(False)
-    view = FleetView(ZONES, lambda item: None, Lines())
+    view = FleetView(ZONES, lambda item: None, EventLog())
     follower = StoreFollower(
-        store, view, SystemClock(), random.Random(1), Lines(), peers
+        store, view, SystemClock(), random.Random(1), EventLog(), peers
     )
     task = asyncio.create_task(follower.async_run())
     await async_until(lambda: peers.confirmed == [0])
@@ -192,9 +192,9 @@
     # host's callers and bring nothing.
     monkeypatch.setattr(module, "LOOK_SECONDS", 0.001)
     store, peers = Script(None), Peers()
-    view = FleetView(ZONES, lambda item: None, Lines())
+    view = FleetView(ZONES, lambda item: None, EventLog())
     follower = StoreFollower(
-        store, view, SystemClock(), random.Random(1), Lines(), peers
+        store, view, SystemClock(), random.Random(1), EventLog(), peers
     )
     counts = Counter()
     follower.store = CountedStore(store, counts)
@@ -221,9 +221,9 @@
     monkeypatch.setattr(watchers, "PAUSE_SECONDS", 0.001)
     store = Script(Snapshot((), 4), *[StoreError("status 503")] * 5_000)
     peers = Peers()
-    view = FleetView(ZONES, lambda item: None, Lines())
+    view = FleetView(ZONES, lambda item: None, EventLog())
     follower = StoreFollower(
-        store, view, SystemClock(), random.Random(1), Lines(), peers
+        store, view, SystemClock(), random.Random(1), EventLog(), peers
     )
     task = asyncio.create_task(follower.async_run())
     await async_until(lambda: follower.lost_at is not None)
@@ -266,9 +266,9 @@
     # that answers seems to be away.
     monkeypatch.setattr(module, "GATHER_SECONDS", 0)
     store = Script(Snapshot((), 4), StoreError("status 429"), Changes((), 5))
-    peers, clock = Peers(), MovedClock()
-    view = FleetView(ZONES, lambda item: None, Lines())
-    follower = StoreFollower(store, view, clock, random.Random(1), Lines(), peers)
+    peers, clock = Peers(), AdjustableClock()
+    view = FleetView(ZONES, lambda item: None, EventLog())
+    follower = StoreFollower(store, view, clock, random.Random(1), EventLog(), peers)
 
     async def async_pause(_):
         clock.ahead = 9.0
@@ -292,11 +292,11 @@
     monkeypatch.setattr(module, "LOOK_SECONDS", 0.001)
     monkeypatch.setattr(module, "GATHER_SECONDS", 0)
     store = Script(Snapshot((), 4))
-    peers, clock = Peers(), MovedClock()
+    peers, clock = Peers(), AdjustableClock()
     clock.stop()
     peers.ages.peers_at = clock.monotonic()
-    view = FleetView(ZONES, decode_server, Lines())
-    follower = StoreFollower(store, view, clock, random.Random(1), Lines(), peers)
+    view = FleetView(ZONES, decode_server, EventLog())
+    follower = StoreFollower(store, view, clock, random.Random(1), EventLog(), peers)
     peers.is_watcher = False
     task = asyncio.create_task(follower.async_run())
     await async_until(lambda: store.calls == [("snapshot",), ("changes", 4)])
@@ -345,9 +345,9 @@
 
     store, peers = Script(*[StoreError("reset")] * 100), Peers()
     peers.is_watcher = watcher
-    view = FleetView(ZONES, lambda item: None, Lines())
+    view = FleetView(ZONES, lambda item: None, EventLog())
     follower = StoreFollower(
-        store, view, SystemClock(), random.Random(1), Lines(), peers
+        store, view, SystemClock(), random.Random(1), EventLog(), peers
     )
     monkeypatch.setattr(
         module, "asyncio", SimpleNamespace(sleep=async_sleep), raising=True
--- a/packages/node/tests/test_gateway_gossip.py
+++ b/packages/node/tests/test_gateway_gossip.py
@@ -5,7 +5,7 @@
 
 import pytest
 from aiohttp import web
-from gateway_world import ZONES, Lines
+from gateway_world import ZONES, EventLog
 
 from greengagepoint.config.watchers import STALE_SECONDS
 from greengagepoint.events import Event
@@ -53,7 +53,7 @@
 
 def host(name, clock=None, session=None, seeds=()):
     entry = HostEntry(name, "north", "zone-a", f"{name}:1", f"{name}:2")
-    lines = Lines()
+    lines = EventLog()
     view = FleetView(ZONES, lambda item: Evacuation(item.key), lines)
     own = HostState(entry, 1, 0, leaving=False)
     return Gossip(
--- a/packages/node/tests/test_gateway_large_values.py
+++ b/packages/node/tests/test_gateway_large_values.py
@@ -5,7 +5,7 @@
 import random
 
 from deployment import async_until
-from gateway_world import ZONES, Lines, free_address
+from gateway_world import ZONES, EventLog, free_address
 from large_values import SLOW_BYTES_PER_SECOND, configuration
 
 from greengagepoint.overload.full_link import SAMPLES_MIN
@@ -37,7 +37,7 @@
     def __init__(self, name):
         self.entry = HostEntry(name, "north", "zone-a", f"{name}:1", free_address())
         own = HostState(self.entry, 1, 0, leaving=False)
-        lines = Lines()
+        lines = EventLog()
         view = FleetView(ZONES, decode_item, lines)
         self.gossip = Gossip(
             own, view, [], SystemClock(), random.Random(1), lines, create_peer_session()
--- a/packages/node/tests/test_gateway_leaving_servers.py
+++ b/packages/node/tests/test_gateway_leaving_servers.py
@@ -4,7 +4,7 @@
 
 import pytest
 from deployment import async_until
-from gateway_world import async_world
+from gateway_world import async_environment
 
 from greengagepoint.errors import ErrorKind
 from greengagepoint.events import Event
@@ -52,7 +52,7 @@
 
 async def async_choose(env, path, method):
     """Start a request; yield the server chosen for it, then the response."""
-    with env.held_connections() as waiting:
+    with env.blocked_connections() as waiting:
         call = asyncio.create_task(env.async_call(path, method))
         await waiting.wait()
         rows = env.daemon.view.servers.servers.values()
@@ -72,7 +72,7 @@
     # that the server leaves must not send: the request would arrive 3.2 s after the
     # server announced it and be cut off by its exit. Of 981 logged sends of a loaded
     # day, 99 went to a server that the host knew to be leaving.
-    async with async_world(attempts_max=1) as env:
+    async with async_environment(attempts_max=1) as env:
         steps = async_choose(env, path, method)
         chosen = await anext(steps)
         remove_server(env, chosen)
@@ -88,7 +88,7 @@
 ):
     # The last servers leave while the connection for a payment is opened. The caller
     # must learn that nothing ran and when to retry.
-    async with async_world(servers=servers) as env:
+    async with async_environment(servers=servers) as env:
         steps = async_choose(env, "/unsafe/1", "POST")
         remove_server(env, await anext(steps))
         status, _, headers = await anext(steps)
@@ -99,7 +99,7 @@
     # Hundreds of requests wait for connections while a zone is evacuated. If each used
     # a retry of the shared budget to go to another server, none would be left for
     # requests whose answers are lost.
-    async with async_world(attempts_max=1) as env:
+    async with async_environment(attempts_max=1) as env:
         steps = async_choose(env, "/safe/1", "GET")
         drain(env, await anext(steps))
         assert (await anext(steps))[0] == 200
@@ -111,7 +111,7 @@
 
 async def async_connect(env, seconds):
     """Open connections that take some seconds each by the host's clock."""
-    with env.held_connections():
+    with env.blocked_connections():
         calls = [
             asyncio.create_task(env.async_call("/safe/1")) for _ in range(CONNECTIONS)
         ]
@@ -165,7 +165,7 @@
     # past the 3 s that it accepts requests, and cut it off by its exit. So the caller
     # must retry at another host. A store outage that peers confirm, or a partition from
     # all peers, does not mean a saturated link: requests are served on.
-    async with async_world(drain_seconds=3.0) as env:
+    async with async_environment(drain_seconds=3.0) as env:
         await env.async_stop_updates()
         await async_connect(env, connect_seconds)
         set_view_age(env, news_age)
@@ -183,7 +183,7 @@
 async def test_the_age_of_the_view_is_checked_again_after_connecting():
     # The server of a payment is chosen in time. Connecting takes half a second more on
     # a saturated link, and the view is too old when the first byte could be sent.
-    async with async_world(drain_seconds=3.0) as env:
+    async with async_environment(drain_seconds=3.0) as env:
         await env.async_stop_updates()
         await async_connect(env, 0.3)
         set_view_age(env, 2.5)
--- a/packages/node/tests/test_gateway_metrics.py
+++ b/packages/node/tests/test_gateway_metrics.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from gateway_world import async_world
+from gateway_world import async_environment
 
 from greengagepoint.errors import ErrorKind
 from greengagepoint.events import Event
@@ -53,7 +53,7 @@
     ],
 )
 async def test_a_scrape_tells_how_requests_ended(manner, outcome, verdict, tries):
-    async with async_world(metrics=True) as world:
+    async with async_environment(metrics=True) as world:
         for backend in world.backends:
             backend.manner = manner
         await world.async_call("/safe/1")
@@ -73,7 +73,7 @@
 
 async def test_requests_without_a_route_are_counted_without_their_names():
     # Anybody may send any path; a series for each would outgrow the host.
-    async with async_world(metrics=True) as world:
+    async with async_environment(metrics=True) as world:
         for number in range(3):
             await world.async_call(f"/hostile-{number}/")
         _, lines = await async_scrape(world)
@@ -91,7 +91,7 @@
 
 
 async def test_other_paths_of_the_address_are_not_found():
-    async with async_world(metrics=True) as world:
+    async with async_environment(metrics=True) as world:
         assert (await async_scrape(world, "/"))[0] == 404
         assert world.daemon.metrics.page is None
 
@@ -110,7 +110,7 @@
 async def test_an_unusable_address_is_told_and_keeps_nobody_from_being_served(kind):
     # Another process holds the port. A host that ended for that would serve nobody,
     # and start again and again.
-    async with async_world() as world:
+    async with async_environment() as world:
         daemon = world.daemon
         address = daemon.settings.front_address if kind == "taken" else "nowhere"
         daemon.settings = daemon.settings._replace(metrics_address=address)
@@ -124,9 +124,9 @@
     # A request reached a server that had said seconds before that it leaves. On-call
     # engineers ask whether the host did not know yet when it chose the server, or knew
     # at the first byte, half a second later, and did not look.
-    async with async_world(metrics=True) as world:
+    async with async_environment(metrics=True) as world:
         world.clock.stop()
-        with world.held_connections() as waiting:
+        with world.blocked_connections() as waiting:
             call = asyncio.create_task(world.async_call("/safe/1"))
             await waiting.wait()
             world.clock.ahead += 0.7
--- a/packages/node/tests/test_gateway_news_orders.py
+++ b/packages/node/tests/test_gateway_news_orders.py
@@ -5,16 +5,16 @@
 """
 
 from gateway_runs import (
-    HERE,
+    ADDRESS,
     LATER,
     NOW,
-    THERE,
-    bad,
+    OTHER_ADDRESS,
+    apply_changes,
     decode,
     members,
-    tell,
+    stored_item,
+    undecodable_item,
     view,
-    write,
 )
 from hypothesis import given
 from hypothesis import strategies as st
@@ -33,7 +33,7 @@
         st.sampled_from(["remove", "bad"]),
         st.tuples(
             st.integers(0, 4),
-            st.sampled_from([HERE, THERE]),
+            st.sampled_from([ADDRESS, OTHER_ADDRESS]),
             st.sampled_from(["ready", "draining"]),
         ),
     ),
@@ -52,9 +52,9 @@
         if what == "remove":
             changes.append(RemovedKey(key, revision))
         elif what == "bad":
-            changes.append(bad(revision, key))
+            changes.append(undecodable_item(revision, key))
         else:
-            changes.append(write(revision, *what, key=key))
+            changes.append(stored_item(revision, *what, key=key))
     return changes
 
 
@@ -141,8 +141,8 @@
         play(fleet, changes, step, set())
     for index, doubtful in lapses:
         if index < len(changes):
-            tell(fleet, changes[index], lapsed=KEYS if doubtful else ())
-    tell(fleet, *changes, lapsed=KEYS)
+            apply_changes(fleet, changes[index], lapsed=KEYS if doubtful else ())
+    apply_changes(fleet, *changes, lapsed=KEYS)
     fleet.tick(LATER)
     assert in_force(fleet) == believed(changes)
 
@@ -150,8 +150,8 @@
 @given(rows=st.lists(CHANGE, max_size=9), behind=st.integers(0, 9))
 def test_a_host_that_starts_or_is_behind_believes_what_its_peer_believes(rows, behind):
     changes, teller, asker = history_of(rows), view(), view()
-    tell(teller, *changes)
-    tell(asker, *changes[:behind])
+    apply_changes(teller, *changes)
+    apply_changes(asker, *changes[:behind])
     news = teller.changes_after(asker.revision)
     asker.apply(news, NOW, {})
     assert in_force(asker) == in_force(teller) == believed(changes)
--- a/packages/node/tests/test_gateway_pipelining.py
+++ b/packages/node/tests/test_gateway_pipelining.py
@@ -10,7 +10,7 @@
 
 import pytest
 from deployment import async_until
-from gateway_world import NAMES, async_world
+from gateway_world import NAMES, async_environment
 from raw_caller import async_connection, async_read_answer, request, targets
 
 from greengagepoint_standins.users_platform.backend import Manner
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize("together", [True, False], ids=["one packet", "several"])
 async def test_waiting_requests_start_before_the_first_is_answered(together):
-    async with async_world(servers=1, seconds=90, timeout_seconds=None) as env:
+    async with async_environment(servers=1, seconds=90, timeout_seconds=None) as env:
         async with async_connection(env) as (_, writer):
             if together:
                 writer.write(b"".join(request(number) for number in range(3)))
@@ -32,7 +32,7 @@
 
 
 async def test_answers_come_in_the_order_of_the_requests():
-    async with async_world(servers=2) as env:
+    async with async_environment(servers=2) as env:
         env.backends[0].seconds = 0.2
         async with async_connection(env) as (reader, writer):
             writer.write(b"".join(request(number) for number in range(12)))
@@ -44,7 +44,7 @@
 
 
 async def test_an_unsafe_request_waits_its_turn_and_blocks_later_ones():
-    async with async_world(servers=1, seconds=0.05) as env:
+    async with async_environment(servers=1, seconds=0.05) as env:
         async with async_connection(env) as (reader, writer):
             writer.write(
                 request(0) + request(1) + request(2, "POST", "/unsafe/") + request(3)
@@ -55,7 +55,7 @@
 
 
 async def test_a_stopping_host_answers_started_requests():
-    async with async_world(servers=1, seconds=0.3) as env:
+    async with async_environment(servers=1, seconds=0.3) as env:
         async with async_connection(env) as (reader, writer):
             writer.write(request(0) + request(1))
             await async_until(lambda: len(targets(env)) == 2)
@@ -68,7 +68,7 @@
 
 
 async def test_requests_in_flight_per_connection_are_limited():
-    async with async_world(servers=8) as env:
+    async with async_environment(servers=8) as env:
         for backend in env.backends:
             backend.manner = Manner.SILENT
         async with async_connection(env) as (_, writer):
--- a/packages/node/tests/test_gateway_placing.py
+++ b/packages/node/tests/test_gateway_placing.py
@@ -1,7 +1,7 @@
 """Which regions a host may use for a request."""
 
 import pytest
-from gateway_world import ZONES, Lines
+from gateway_world import ZONES, EventLog
 
 from greengagepoint.placing.choice import NoPlace
 from greengagepoint.placing.region_loads import RegionLoad
@@ -18,15 +18,15 @@
 
 def create_placer(round_trip_seconds):
     """Return the placer of a host in the north, whose region has just lost a server."""
-    view = FleetView(ZONES, lambda item: None, Lines())
+    view = FleetView(ZONES, lambda item: None, EventLog())
     for region, zone in (("north", "zone-a"), ("south", "zone-b")):
         for number in range(4):
             name = f"{region}-{number}"
             row = Server(name, "booking", "", zone, region, 4)
             view.servers.servers[name] = row
     view.servers.rebuild()
-    weights = RegionWeights("north", 2, view.servers, Lines())
-    placer = Placer("h1", "north", view, weights, 0.0, Lines())
+    weights = RegionWeights("north", 2, view.servers, EventLog())
+    placer = Placer("h1", "north", view, weights, 0.0, EventLog())
     placer.round_trip_seconds = round_trip_seconds
     placer.tick(NOW)
     for number in range(3):
--- a/packages/node/tests/test_gateway_quarantine.py
+++ b/packages/node/tests/test_gateway_quarantine.py
@@ -4,7 +4,7 @@
 
 import pytest
 from deployment import async_until
-from gateway_world import async_world
+from gateway_world import async_environment
 
 from greengagepoint.events import Event
 from greengagepoint.quarantine.rules import REFUSED_SECONDS
@@ -49,7 +49,7 @@
 async def test_a_quarantined_request_is_not_run_and_gets_a_retry_delay(
     path, method, body, calls
 ):
-    async with async_world(servers=5) as env:
+    async with async_environment(servers=5) as env:
         await async_quarantine(env, path, method=method, data=body)
         assert env.count == calls
         status, _, headers = await env.async_call(path, method, data=body)
@@ -71,14 +71,14 @@
     ],
 )
 async def test_other_requests_are_served(other):
-    async with async_world(servers=5) as env:
+    async with async_environment(servers=5) as env:
         await async_quarantine(env)
         assert (await env.async_call(FATAL))[0] == 503
         assert (await env.async_call(**other))[0] == 200
 
 
 async def test_a_request_answered_between_crashes_is_not_quarantined():
-    async with async_world(servers=8) as env:
+    async with async_environment(servers=8) as env:
         for _ in range(3):
             set_manner(env, Manner.FATAL)
             assert (await env.async_call(FATAL, "POST"))[0] == 502
@@ -94,7 +94,7 @@
 async def test_a_request_is_tried_again_when_its_quarantine_expires(
     manner, status, refused_seconds
 ):
-    async with async_world(servers=6) as env:
+    async with async_environment(servers=6) as env:
         await async_quarantine(env)
         set_manner(env, manner)
         expire_crashed(env)
@@ -112,7 +112,7 @@
 
 
 async def test_copies_of_a_suspected_request_run_one_at_a_time():
-    async with async_world(servers=6) as env:
+    async with async_environment(servers=6) as env:
         set_manner(env, Manner.FATAL)
         assert (await env.async_call(FATAL))[0] == 502
         set_manner(env, Manner.GOOD)
@@ -126,7 +126,7 @@
 
 async def test_a_suspected_request_avoids_the_servers_of_its_key():
     key = {"Cookie": "X-Greengagepoint-Affinity-Key=7"}
-    async with async_world(servers=8, affinity=True) as env:
+    async with async_environment(servers=8, affinity=True) as env:
         set_manner(env, Manner.FATAL)
         assert (await env.async_call(FATAL, headers=key))[0] == 502
         set_manner(env, Manner.GOOD)
@@ -147,7 +147,7 @@
 
 @pytest.mark.parametrize("bystander", [True, False])
 async def test_an_abandoned_request_that_crashes_its_server_is_suspected(bystander):
-    async with async_world(servers=1, seconds=0.3) as env:
+    async with async_environment(servers=1, seconds=0.3) as env:
         server = env.backends[0]
         paths = [FATAL, "/safe/other"] if bystander else [FATAL]
         calls = [asyncio.create_task(env.async_call(path)) for path in paths]
@@ -164,7 +164,7 @@
 
 
 async def test_an_abandoned_request_at_a_healthy_server_is_not_suspected():
-    async with async_world(servers=1, seconds=0.3) as env:
+    async with async_environment(servers=1, seconds=0.3) as env:
         server = env.backends[0]
         call = asyncio.create_task(env.async_call(FATAL))
         await async_until(lambda: server.ran)
@@ -177,7 +177,7 @@
 
 
 async def test_undecodable_peer_messages_are_rejected():
-    async with async_world(servers=1) as env:
+    async with async_environment(servers=1) as env:
         url = f"http://{env.daemon.settings.peer_address}/v1/quarantine"
         async with env.session.post(url, data=b"\xc1") as answer:
             assert answer.status == 400
--- a/packages/node/tests/test_gateway_quarantine_news.py
+++ b/packages/node/tests/test_gateway_quarantine_news.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 import pytest
-from gateway_world import ZONES, Lines, MovedClock
+from gateway_world import ZONES, AdjustableClock, EventLog
 
 from greengagepoint.errors import StoreError
 from greengagepoint.placing.tables import Server
@@ -59,16 +59,16 @@
         self.random = random.Random(7)
         self.lost = lost
         self.sent = 0
-        self.clock = MovedClock()
+        self.clock = AdjustableClock()
         self.syncs = {}
         for name in hosts:
-            quarantine = RequestQuarantine(Quarantine(), self.clock, Lines())
+            quarantine = RequestQuarantine(Quarantine(), self.clock, EventLog())
             sync = QuarantineSync(
                 quarantine,
                 lambda name=name: [row for row in self.syncs if row != name],
                 None,
                 self.random,
-                Lines(),
+                EventLog(),
                 Counter(),
             )
             quarantine.notify = sync.notify
@@ -195,7 +195,7 @@
 
     def keeper(self, name):
         sync = self.network.syncs[name]
-        return QuarantineStore(self.store, sync, name, lambda: self.hosts, Lines())
+        return QuarantineStore(self.store, sync, name, lambda: self.hosts, EventLog())
 
     async def async_step(self, seconds=0.0):
         """Let all hosts look, with what the store told them by then."""
@@ -262,7 +262,7 @@
     await keepers.async_refused()
     await keepers.async_step()
     fresh = Network(["h9"])
-    keeper = QuarantineStore(keepers.store, fresh.syncs["h9"], "h9", list, Lines())
+    keeper = QuarantineStore(keepers.store, fresh.syncs["h9"], "h9", list, EventLog())
     keeper.take(keepers.store.entries[FATAL.content])
     assert fresh.refusing() == 1
 
@@ -340,7 +340,7 @@
 
 def test_a_view_tells_of_entries_as_they_come_and_go():
     fact = QuarantineEntry("c", 30.0, ())
-    view = FleetView(ZONES, lambda item: fact, Lines())
+    view = FleetView(ZONES, lambda item: fact, EventLog())
     view.quarantine = heard = Heard()
     view.apply(Changes((StoredItem("q", b"", 5),), 5), 1.0)
     view.apply(Changes((RemovedKey("q", 6),), 6), 1.0)
--- a/packages/node/tests/test_gateway_restarts.py
+++ b/packages/node/tests/test_gateway_restarts.py
@@ -9,7 +9,7 @@
 
 import pytest
 from deployment import async_until
-from gateway_world import async_world
+from gateway_world import async_environment
 
 from greengagepoint_node.gateway.facts import Changes, ServerEntry, StoredItem
 from greengagepoint_standins.users_platform.backend import Manner
@@ -40,7 +40,7 @@
     # A server starts again. Its host keeps connections to the older run, which stay
     # open and on which nobody answers. A caller whose request went out on one would
     # wait in vain, and it could not be sent again, as it may have run.
-    async with async_world(servers=1) as world:
+    async with async_environment(servers=1) as world:
         older = world.backends[0]
         enter(world, older, 100)
         for _ in range(3):
@@ -64,7 +64,7 @@
     # A request runs at a server that crashes and starts again at once. Only what may
     # run twice is sent to the newer run, though that one has run nothing. The broken
     # connection is not held against it: the next caller is served by it.
-    async with async_world(servers=1) as world:
+    async with async_environment(servers=1) as world:
         older = world.backends[0]
         enter(world, older, 100)
         older.seconds = 5.0
@@ -87,7 +87,7 @@
     # A server is restarted by operators: the older run still answers what it has. Its
     # caller gets that answer; the load that it tells of is not the newer run's, which
     # would look busy.
-    async with async_world(servers=1) as world:
+    async with async_environment(servers=1) as world:
         older = world.backends[0]
         enter(world, older, 100)
         older.seconds = 0.3
@@ -105,7 +105,7 @@
 
 
 async def test_the_newer_run_gets_its_id_and_nothing_else_as_target():
-    async with async_world(servers=1) as world:
+    async with async_environment(servers=1) as world:
         enter(world, world.backends[0], 1_765_000_000_000)
         assert (await world.async_call("/safe/1"))[0] == 200
         (request,) = world.backends[0].ran
--- a/packages/node/tests/test_gateway_stop.py
+++ b/packages/node/tests/test_gateway_stop.py
@@ -4,11 +4,11 @@
 
 import pytest
 from deployment import async_until
-from gateway_world import async_world
+from gateway_world import async_environment
 
 
 async def test_a_request_in_flight_gets_its_whole_answer():
-    async with async_world(servers=1, seconds=0.5) as env:
+    async with async_environment(servers=1, seconds=0.5) as env:
         call = asyncio.create_task(env.async_call("/safe/1"))
         await async_until(lambda: env.backends[0].ran)
         stop = asyncio.create_task(env.daemon.async_stop())
@@ -25,7 +25,7 @@
     # Callers cache addresses for seconds, so some send while the host stops. One whose
     # request is in transit when the socket closes would not learn whether it ran. So
     # the host listens until it exits, and at the end rejects requests.
-    async with async_world(servers=1) as env:
+    async with async_environment(servers=1) as env:
         stop = asyncio.create_task(env.daemon.async_stop())
         for _ in range(int(after / 0.3)):
             await env.async_call("/safe/1")
@@ -38,7 +38,7 @@
 
 
 async def test_a_stopping_host_is_not_ready_and_not_listed():
-    async with async_world(servers=1) as env:
+    async with async_environment(servers=1) as env:
         daemon = env.daemon
         assert daemon.directory.addresses("north") == [daemon.settings.front_address]
         stop = asyncio.create_task(daemon.async_stop())
@@ -51,7 +51,7 @@
 
 
 async def test_a_stop_ends_within_its_time_limit():
-    async with async_world(servers=1, seconds=30.0, timeout_seconds=None) as env:
+    async with async_environment(servers=1, seconds=30.0, timeout_seconds=None) as env:
         call = asyncio.create_task(env.async_call("/safe/1", deadline_ms=20_000))
         await async_until(lambda: env.backends[0].ran)
         began = asyncio.get_running_loop().time()
--- a/packages/node/tests/test_gateway_view.py
+++ b/packages/node/tests/test_gateway_view.py
@@ -6,7 +6,7 @@
 """
 
 import pytest
-from gateway_world import ZONES, Lines
+from gateway_world import ZONES, EventLog
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -49,7 +49,7 @@
 
 
 def view():
-    return FleetView(ZONES, decode, Lines())
+    return FleetView(ZONES, decode, EventLog())
 
 
 def item(key, value, revision):
@@ -213,7 +213,7 @@
     # removals follow as it keeps. A peer that asks from before must be sent all items,
     # or it would keep servers that left.
     monkeypatch.setattr(module, "REMOVED_KEPT", 2)
-    view = FleetView(ZONES, lambda item: Evacuation(item.key), Lines())
+    view = FleetView(ZONES, lambda item: Evacuation(item.key), EventLog())
     view.apply(Changes((RemovedKey("a", 10), RemovedKey("b", 11)), 11), 0.0)
     view.replace(Snapshot((), 100), 0.0)
     view.apply(Changes((RemovedKey("c", 101),), 101), 0.0)
--- a/packages/node/tests/test_measure_account.py
+++ b/packages/node/tests/test_measure_account.py
@@ -5,12 +5,12 @@
 
 from greengagepoint.placing.choice import NoPlace
 from greengagepoint_node.gateway.exchange import Exchange, Verdict
-from greengagepoint_node.gateway.refusals import no_answer, no_place
+from greengagepoint_node.gateway.refusals import no_answer_refusal, no_server_refusal
 from measure.account import read_account, render
 
 
 def busy(shortest, longest=0.2, age=0.1):
-    return no_place("booking", NoPlace(0.3, True, shortest, longest, 4, age))
+    return no_server_refusal("booking", NoPlace(0.3, True, shortest, longest, 4, age))
 
 
 def line_of(refusal, at=10.0, host="h1"):
@@ -35,10 +35,13 @@
         (busy(0.1), "busy: short wait in the region"),
         (busy(0.3), "busy: long wait everywhere"),
         (busy(0.0, age=float("inf")), "busy: load not known"),
-        (no_place("booking", NoPlace(1.0, False)), "no server may be used"),
-        (no_answer(Exchange(Verdict.SHED), may_have_run=False), "not run: shed"),
+        (no_server_refusal("booking", NoPlace(1.0, False)), "no server may be used"),
         (
-            no_answer(Exchange(Verdict.TIMED_OUT), may_have_run=True),
+            no_answer_refusal(Exchange(Verdict.SHED), may_have_run=False),
+            "not run: shed",
+        ),
+        (
+            no_answer_refusal(Exchange(Verdict.TIMED_OUT), may_have_run=True),
             "may have run: timed_out",
         ),
     ],
--- a/packages/node/tests/told_entries.py
+++ b/packages/node/tests/told_entries.py
@@ -1,7 +1,7 @@
 """A host's view that is told entries in the platform's manner."""
 
 import msgspec
-from gateway_world import ZONES, Lines
+from gateway_world import ZONES, EventLog
 
 from greengagepoint.events import Event
 from greengagepoint_node.gateway.facts import Changes, RemovedKey, StoredItem
@@ -52,7 +52,7 @@
     """A host's view that is told one change after the other."""
 
     def __init__(self) -> None:
-        self.view = FleetView(dict(ZONES), decode_item, Lines())
+        self.view = FleetView(dict(ZONES), decode_item, EventLog())
         self.revision = 0
 
     def put(self, key, document):
