--- a/packages/node/greengagepoint_node/gateway/handler.py
+++ b/packages/node/greengagepoint_node/gateway/handler.py
@@ -45,7 +45,7 @@
 )
 from greengagepoint_node.gateway.request_quarantine import RequestQuarantine
 from greengagepoint_node.gateway.send_times import SendTimes
-from greengagepoint_node.gateway.server_ends import ServerCrashes
+from greengagepoint_node.gateway.server_crashes import ServerCrashes
 from greengagepoint_node.gateway.tries import UNSENT, Attempts
 from greengagepoint_node.gateway.view import FleetView
 from greengagepoint_node.proxy.sessions import BackendSessions
--- a/packages/node/greengagepoint_node/gateway/server_ends.py
+++ b/packages/node/greengagepoint_node/gateway/server_crashes.py
@@ -6,7 +6,7 @@
 from greengagepoint.placing.tables import Server
 from greengagepoint.quarantine.tables import ServerRun
 from greengagepoint_node.gateway.call import Call
-from greengagepoint_node.gateway.end_checks import CrashChecks
+from greengagepoint_node.gateway.crash_checks import CrashChecks
 from greengagepoint_node.gateway.identity import RequestIdentity
 from greengagepoint_node.gateway.outcomes import Outcomes
 from greengagepoint_node.gateway.request_quarantine import RequestQuarantine
