--- a/packages/node/greengagepoint_node/gateway/arrivals.py
+++ b/packages/node/greengagepoint_node/gateway/arrivals.py
@@ -36,21 +36,21 @@
     ``turn_at`` is the arrival time of the request that was popped last.
     """
 
-    __slots__ = ("started_at", "body", "chunk_at", "newest", "times", "turn_at")
+    __slots__ = ("begun_at", "body", "chunk_at", "newest", "times", "turn_at")
 
     def __init__(self) -> None:
         super().__init__()
         self.times: deque[float] = deque()
         self.turn_at = 0.0
         self.chunk_at = 0.0
-        self.started_at: float | None = None
+        self.begun_at: float | None = None
         self.newest: tuple[Any, StreamReader] | None = None
         self.body: OpenBody | None = None
 
     def append(self, row: tuple[Any, StreamReader]) -> None:
         """Append a request whose head is complete, and its arrival time."""
-        self.times.append(self.chunk_at if self.started_at is None else self.started_at)
-        self.started_at = None
+        self.times.append(self.chunk_at if self.begun_at is None else self.begun_at)
+        self.begun_at = None
         self.newest = row
         deque.append(self, row)
 
@@ -73,10 +73,10 @@
             data, body_bytes = data[taken:], 0
         else:
             body_bytes = 0
-        if self.started_at is not None or self.body is not None or not data:
+        if self.begun_at is not None or self.body is not None or not data:
             return
         if not _ends_at_boundary(data, body_bytes):
-            self.started_at = self.chunk_at
+            self.begun_at = self.chunk_at
 
     def _begin_body(self, message: Any, payload: StreamReader) -> int:
         """Return the length of a new request's body, 0 if its end can be parsed."""
