--- a/packages/node/greengagepoint_node/gateway/outcomes.py
+++ b/packages/node/greengagepoint_node/gateway/outcomes.py
@@ -147,14 +147,14 @@
         )
 
     def record_answered(
-        self, call: Call, exchange: Exchange, server: Server, tries: int
+        self, call: Call, exchange: Exchange, server: Server, attempt_count: int
     ) -> None:
         """Count the region that answered a request; log it if sampled.
 
-        Requests that took more than one of the ``attempts`` are always logged.
+        Requests that took more than one attempt are always logged.
         """
         self.counters.regions[call.service, server.region] += 1
-        if tries == 1 and not _is_sampled(call.request_id):
+        if attempt_count == 1 and not _is_sampled(call.request_id):
             return
         self.events.record(
             Event.REQUEST_ANSWERED,
@@ -163,7 +163,7 @@
             service=call.service,
             instance=server.instance,
             region=server.region,
-            attempts=tries,
+            attempts=attempt_count,
             load=exchange.load,
             in_flight=server.in_flight,
             run_seconds=round(server.run_seconds, 3),
