--- a/packages/node/tests/test_gateway_configuration_loader.py
+++ b/packages/node/tests/test_gateway_configuration_loader.py
@@ -10,7 +10,7 @@
 
 import pytest
 from deployment import async_until
-from gateway_world import ZONES, Lines, async_world
+from gateway_world import ZONES, EventLog, async_environment
 
 from greengagepoint.errors import RecordError
 from greengagepoint.events import Event
@@ -72,7 +72,9 @@
     def __init__(self):
         self.decoder = Decoder()
         self.loader = ConfigurationLoader(self.decoder.decode_parts, SystemClock())
-        self.view = FleetView(ZONES, self.decoder.decode, Lines(), loader=self.loader)
+        self.view = FleetView(
+            ZONES, self.decoder.decode, EventLog(), loader=self.loader
+        )
 
     @property
     def version(self):
@@ -244,7 +246,7 @@
             while True:
                 yield None
 
-    async with async_world() as world:
+    async with async_environment() as world:
         daemon = world.daemon
         daemon.loader.read = endless
         daemon.view.apply(Changes((large("2", 2),), 2), NOW)
@@ -260,7 +262,7 @@
 async def test_a_running_host_freezes_loaded_objects_for_the_garbage_collector():
     # A full garbage collection while a version was decoded traversed every object that
     # the process had imported, and blocked all callers meanwhile.
-    async with async_world(servers=1) as world:
+    async with async_environment(servers=1) as world:
         running = asyncio.create_task(world.daemon.stop_wanted.wait())
         world.daemon.async_start = lambda: asyncio.sleep(0)
         world.daemon.async_stop = lambda: running
--- a/packages/node/tests/test_gateway_news_orders.py
+++ b/packages/node/tests/test_gateway_news_orders.py
@@ -6,16 +6,16 @@
 """
 
 from gateway_runs import (
-    HERE,
+    ADDRESS,
     LATER,
     NOW,
-    THERE,
-    bad,
+    OTHER_ADDRESS,
+    apply_changes,
     decode,
     members,
-    tell,
+    stored_item,
+    undecodable_item,
     view,
-    write,
 )
 from hypothesis import given
 from hypothesis import strategies as st
@@ -34,7 +34,7 @@
         st.sampled_from(["remove", "bad"]),
         st.tuples(
             st.integers(0, 4),
-            st.sampled_from([HERE, THERE]),
+            st.sampled_from([ADDRESS, OTHER_ADDRESS]),
             st.sampled_from(["ready", "draining"]),
         ),
     ),
@@ -53,9 +53,9 @@
         if what == "remove":
             changes.append(RemovedKey(key, revision))
         elif what == "bad":
-            changes.append(bad(revision, key))
+            changes.append(undecodable_item(revision, key))
         else:
-            changes.append(write(revision, *what, key=key))
+            changes.append(stored_item(revision, *what, key=key))
     return changes
 
 
@@ -142,8 +142,8 @@
         apply_step(fleet, changes, step, set())
     for index, may_be_lapse in lapses:
         if index < len(changes):
-            tell(fleet, changes[index], lapsed=KEYS if may_be_lapse else ())
-    tell(fleet, *changes, lapsed=KEYS)
+            apply_changes(fleet, changes[index], lapsed=KEYS if may_be_lapse else ())
+    apply_changes(fleet, *changes, lapsed=KEYS)
     fleet.tick(LATER)
     assert active_entries(fleet) == expected_entries(changes)
 
@@ -151,8 +151,8 @@
 @given(rows=st.lists(CHANGE, max_size=9), behind=st.integers(0, 9))
 def test_a_host_that_starts_or_lags_reaches_its_peers_state(rows, behind):
     changes, sender, receiver = history_of(rows), view(), view()
-    tell(sender, *changes)
-    tell(receiver, *changes[:behind])
+    apply_changes(sender, *changes)
+    apply_changes(receiver, *changes[:behind])
     updates = sender.changes_after(receiver.revision)
     receiver.apply(updates, NOW, {})
     assert (
--- a/packages/node/tests/test_gateway_quarantine_news.py
+++ b/packages/node/tests/test_gateway_quarantine_news.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 import pytest
-from gateway_world import ZONES, Lines, MovedClock
+from gateway_world import ZONES, AdjustableClock, EventLog
 
 from greengagepoint.errors import StoreError
 from greengagepoint.placing.tables import Server
@@ -59,16 +59,16 @@
         self.random = random.Random(7)
         self.loss = loss
         self.sent = 0
-        self.clock = MovedClock()
+        self.clock = AdjustableClock()
         self.syncs = {}
         for name in hosts:
-            quarantine = RequestQuarantine(Quarantine(), self.clock, Lines())
+            quarantine = RequestQuarantine(Quarantine(), self.clock, EventLog())
             sync = QuarantineSync(
                 quarantine,
                 lambda name=name: [row for row in self.syncs if row != name],
                 None,
                 self.random,
-                Lines(),
+                EventLog(),
                 Counter(),
             )
             quarantine.notify = sync.notify
@@ -196,7 +196,7 @@
 
     def create_store(self, name):
         sync = self.network.syncs[name]
-        return QuarantineStore(self.store, sync, name, lambda: self.hosts, Lines())
+        return QuarantineStore(self.store, sync, name, lambda: self.hosts, EventLog())
 
     async def async_step(self, seconds=0.0):
         """Advance the clock and run a step of all hosts, with the store's entries."""
@@ -265,7 +265,7 @@
     await fleet.async_step()
     new_network = Network(["h9"])
     quarantine_store = QuarantineStore(
-        fleet.store, new_network.syncs["h9"], "h9", list, Lines()
+        fleet.store, new_network.syncs["h9"], "h9", list, EventLog()
     )
     quarantine_store.take(fleet.store.entries[CRASHING.content])
     assert new_network.count_quarantining() == 1
@@ -344,7 +344,7 @@
 
 def test_a_view_passes_on_added_and_removed_entries():
     stored_entry = QuarantineEntry("c", 30.0, ())
-    view = FleetView(ZONES, lambda item: stored_entry, Lines())
+    view = FleetView(ZONES, lambda item: stored_entry, EventLog())
     view.quarantine = recorded = RecordedEntries()
     view.apply(Changes((StoredItem("q", b"", 5),), 5), 1.0)
     view.apply(Changes((RemovedKey("q", 6),), 6), 1.0)
--- a/packages/node/tests/test_gateway_restarts.py
+++ b/packages/node/tests/test_gateway_restarts.py
@@ -9,7 +9,7 @@
 
 import pytest
 from deployment import async_until
-from gateway_world import async_world
+from gateway_world import async_environment
 
 from greengagepoint_node.gateway.store_types import Changes, ServerEntry, StoredItem
 from greengagepoint_standins.users_platform.backend import Manner
@@ -40,7 +40,7 @@
     # A server restarts. The host still has open connections to the old incarnation, on
     # which no response arrives. A request sent on one would get no answer and could not
     # be retried, since it may have run.
-    async with async_world(servers=1) as world:
+    async with async_environment(servers=1) as world:
         old_backend = world.backends[0]
         apply_server_entry(world, old_backend, 100)
         for _ in range(3):
@@ -65,7 +65,7 @@
     # that may run twice is retried at the new incarnation, although that one has run
     # nothing. The broken connection does not count as a failure of the new incarnation,
     # so it serves the next caller.
-    async with async_world(servers=1) as world:
+    async with async_environment(servers=1) as world:
         old_backend = world.backends[0]
         apply_server_entry(world, old_backend, 100)
         old_backend.seconds = 5.0
@@ -88,7 +88,7 @@
     # Operators restart a server: the old incarnation still answers the requests that it
     # has. The caller gets that answer, but the load that it reports must not count for
     # the new incarnation, which would look busy.
-    async with async_world(servers=1) as world:
+    async with async_environment(servers=1) as world:
         old_backend = world.backends[0]
         apply_server_entry(world, old_backend, 100)
         old_backend.seconds = 0.3
@@ -106,7 +106,7 @@
 
 
 async def test_the_new_incarnation_gets_only_its_id_as_target():
-    async with async_world(servers=1) as world:
+    async with async_environment(servers=1) as world:
         apply_server_entry(world, world.backends[0], 1_765_000_000_000)
         assert (await world.async_call("/safe/1"))[0] == 200
         (request,) = world.backends[0].ran
--- a/packages/node/tests/test_gateway_view.py
+++ b/packages/node/tests/test_gateway_view.py
@@ -6,7 +6,7 @@
 """
 
 import pytest
-from gateway_world import ZONES, Lines
+from gateway_world import ZONES, EventLog
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -49,7 +49,7 @@
 
 
 def view():
-    return FleetView(ZONES, decode, Lines())
+    return FleetView(ZONES, decode, EventLog())
 
 
 def item(key, value, revision):
@@ -213,7 +213,7 @@
     # many removals follow as the host keeps. A peer at a revision before the snapshot
     # must get all items, or it would keep servers that have left.
     monkeypatch.setattr(module, "REMOVED_KEPT", 2)
-    view = FleetView(ZONES, lambda item: Evacuation(item.key), Lines())
+    view = FleetView(ZONES, lambda item: Evacuation(item.key), EventLog())
     view.apply(Changes((RemovedKey("a", 10), RemovedKey("b", 11)), 11), 0.0)
     view.replace(Snapshot((), 100), 0.0)
     view.apply(Changes((RemovedKey("c", 101),), 101), 0.0)
--- a/packages/node/tests/told_entries.py
+++ b/packages/node/tests/told_entries.py
@@ -1,7 +1,7 @@
 """A host's view that gets entries in the platform's format."""
 
 import msgspec
-from gateway_world import ZONES, Lines
+from gateway_world import ZONES, EventLog
 
 from greengagepoint.events import Event
 from greengagepoint_node.gateway.store_types import Changes, RemovedKey, StoredItem
@@ -52,7 +52,7 @@
     """A host's view that gets one change after the other, writes twice."""
 
     def __init__(self) -> None:
-        self.view = FleetView(dict(ZONES), decode_item, Lines())
+        self.view = FleetView(dict(ZONES), decode_item, EventLog())
         self.revision = 0
 
     def put(self, key, document):
